--- /dev/null
+++ b/limiter/transport/clients/client_response.py
@@ -0,0 +1,38 @@
+"""Responses to clients: the HTTP/1.1 text, and those that the limiter makes without asking a server."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+REASON_PHRASES = {
+    200: b"OK",
+    400: b"Bad Request",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    429: b"Too Many Requests",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
+
+
+@dataclass(frozen=True, slots=True)
+class LocalResponse:
+    """A response in plain text that needs no server."""
+
+    status: int
+    text: bytes
+    retry_after_ms: float = 0.0  # 0: no Retry-After header
+
+
+def encode_response(
+    status: int, body: bytes, content_type: bytes, retry_after_ms: float, *, close: bool
+) -> bytes:
+    """A whole HTTP/1.1 response; `close` says that the connection ends with it."""
+    head = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n" % (status, REASON_PHRASES[status], len(body))
+    if content_type:
+        head += b"Content-Type: %b\r\n" % content_type
+    if retry_after_ms > 0:
+        head += b"Retry-After: %.3f\r\n" % (retry_after_ms / 1000)
+    return head + (b"Connection: close\r\n\r\n" if close else b"\r\n") + body
--- /dev/null
+++ b/limiter/transport/clients/request_handler.py
@@ -0,0 +1,59 @@
+"""What becomes of a request that a client connection has read: a local response, or a proxied request."""
+
+from __future__ import annotations
+
+from limiter.configuration.config import Config
+from limiter.transport.clients.client_connection import ClientConnection
+from limiter.transport.clients.client_response import LocalResponse
+from limiter.transport.clients.http_request import BadRequestError, RequestValidator
+from limiter.transport.clients.request_parser import ParsedRequest
+from limiter.transport.clock import Clock
+from limiter.transport.driver.proxied_request import ProxiedRequest
+from limiter.transport.driver.proxy import Proxy
+
+HEALTH_PATH = b"/_health"
+READY = LocalResponse(200, b"ready\n")
+NOT_READY = LocalResponse(503, b"not ready\n")
+DUPLICATE_ID = LocalResponse(409, b"X-Request-Id: that of a request still open\n")
+
+
+class ProxyRequestHandler:
+    """Answers health checks, validates other requests and submits them to the proxy."""
+
+    def __init__(self, config: Config, proxy: Proxy, clock: Clock) -> None:
+        """Handle requests by the settings of `config`."""
+        self._proxy = proxy
+        self._requests = proxy.requests
+        self._forwarder = proxy.forwarder
+        self._clock = clock
+        self._validator = RequestValidator(config)
+        self.draining = False  # each connection is closed with its next response
+        self.stopped = False  # no request is submitted any more
+
+    def prepare(self, connection: ClientConnection, request: ParsedRequest) -> ProxiedRequest | LocalResponse:
+        """Make of a request what is to be submitted, or its response."""
+        path = request.target.partition(b"?")[0]
+        if path == HEALTH_PATH:
+            return READY if self._proxy.ready and not self.draining else NOT_READY
+        try:
+            event = self._validator.validate(request, path, self._requests.next_number(), self._clock())
+        except BadRequestError as error:
+            return LocalResponse(400, b"%b\n" % str(error).encode())
+        client_request_id = request.headers[b"x-request-id"]
+        if client_request_id in self._requests.client_request_ids:
+            # Forwarded, it would run a second time, or as another client's request.
+            return DUPLICATE_ID
+        body = b"".join(request.body_parts)
+        head = b"%b %b HTTP/1.1\r\n%b" % (request.method, request.target, b"".join(request.forwarded_lines))
+        if body or request.method == b"POST":
+            head += b"Content-Length: %d\r\n" % len(body)
+        self._requests.client_request_ids.add(client_request_id)
+        return ProxiedRequest(connection, event, client_request_id, head, body)
+
+    def submit(self, request: ProxiedRequest) -> None:
+        """Give a prepared request to the proxy."""
+        self._forwarder.submit(request)
+
+    def client_disconnected(self, request: ProxiedRequest) -> None:
+        """Finish a prepared request whose client no longer gets its response."""
+        self._forwarder.client_disconnected(request)
--- /dev/null
+++ b/limiter/transport/driver/proxy.py
@@ -0,0 +1,206 @@
+"""Drives the policy engine: events to it, its actions carried out, its timers."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import math
+from collections.abc import Callable
+from typing import Any
+
+from limiter.configuration.config import Address, Config
+from limiter.model.actions import (
+    AddToCounter,
+    BroadcastGossip,
+    CancelAttempt,
+    FailRequest,
+    LogMessage,
+    PollDiscovery,
+    RejectRequest,
+    SendAttempt,
+    SendHealthCheck,
+    SetTimer,
+)
+from limiter.model.events import (
+    CounterReply,
+    DiscoveryPollFailed,
+    Endpoint,
+    EndpointsChanged,
+    EndpointState,
+    Event,
+    GossipReceived,
+    Outcome,
+    TimerFired,
+)
+from limiter.policy.engine import PolicyEngine
+from limiter.transport.clock import Clock
+from limiter.transport.counter.counter_client import CounterClient
+from limiter.transport.driver.request_forwarder import RequestForwarder
+from limiter.transport.gossip.gossip_socket import GossipSocket
+from limiter.transport.servers.server_pool import ServerPool
+
+log = logging.getLogger(__name__)
+
+SWEEP_INTERVAL_SECONDS = 1.0  # between two rounds of closing idle connections to servers
+SERVER_CONNECTION_SHARE = 0.4  # of the descriptors, for connections to servers
+
+
+class Proxy:
+    """One limiter: the policy engine, and what carries out its decisions.
+
+    The engine sees events one at a time; each of its actions is carried out before the next event.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, clock: Clock) -> None:
+        """Open the socket for gossip; the other connections are opened when they are needed."""
+        self._loop = loop
+        self._clock = clock
+        self.settings = config.settings
+        self.engine = PolicyEngine(config.settings, config.seed)
+        self.pool = ServerPool(
+            loop,
+            config.dial_timeout_ms,
+            config.keepalive_ms,
+            config.descriptor_share(SERVER_CONNECTION_SHARE),
+        )
+        self.forwarder = RequestForwarder(loop, clock, config.settings, self.pool, self._handle_event)
+        self.requests = self.forwarder.requests
+        self.counter = self._make_counter(config)
+        self._gossip = self._make_gossip(config)
+        self._ready_servers: set[bytes] = set()
+        # Set by whoever watches discovery: called when the next poll may be made.
+        self.poll_discovery: Callable[[], None] = lambda: None
+        self._actions = self._action_handlers()
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
+
+    def _make_counter(self, config: Config) -> CounterClient | None:
+        if config.counter is None:
+            return None
+        timeout = config.settings.counter_timeout
+        return CounterClient(
+            self._loop, config.counter, timeout, config.dial_timeout_ms, self._counter_replied
+        )
+
+    def _make_gossip(self, config: Config) -> GossipSocket | None:
+        if config.gossip is None:
+            return None
+        return GossipSocket(self._loop, config.gossip, config.settings.limiter_index, self._gossip_received)
+
+    def _action_handlers(self) -> dict[type, Callable[[Any], None]]:
+        return {
+            SendAttempt: self.forwarder.send_attempt,
+            CancelAttempt: self.forwarder.cancel_attempt,
+            RejectRequest: self._reject_request,
+            FailRequest: self._fail_request,
+            AddToCounter: self._add_to_counter,
+            SetTimer: self._set_timer,
+            BroadcastGossip: self._broadcast_gossip,
+            LogMessage: self._log_message,
+            PollDiscovery: self._poll_discovery,
+            SendHealthCheck: self._ignore,  # the settings allow none
+        }
+
+    @property
+    def ready(self) -> bool:
+        """Whether a server is known that may be sent to."""
+        return bool(self._ready_servers)
+
+    # Events from outside
+
+    def servers_changed(
+        self, servers: list[tuple[Endpoint, Address]], is_full_list: bool, from_cache: bool = False
+    ) -> None:
+        """Apply the endpoint list, or what changed of it."""
+        listed = set()
+        for endpoint, address in servers:
+            listed.add(endpoint.id)
+            if endpoint.state is EndpointState.GONE:
+                self.pool.remove(endpoint.id)
+            else:
+                self.pool.update(endpoint.id, address, endpoint.started_at)
+            if endpoint.state is EndpointState.READY:
+                self._ready_servers.add(endpoint.id)
+            else:
+                self._ready_servers.discard(endpoint.id)
+                self.pool.drain(endpoint.id)
+        if is_full_list:
+            self._ready_servers &= listed
+            for server_id in [server_id for server_id in self.pool.servers if server_id not in listed]:
+                self.pool.remove(server_id)
+        endpoints = tuple(endpoint for endpoint, _ in servers)
+        self._handle_event(EndpointsChanged(endpoints, is_full_list, from_cache))
+
+    def discovery_failed(self, rejected: bool) -> None:
+        """Note that a poll brought no list; `rejected` says that discovery turned it away."""
+        self._handle_event(DiscoveryPollFailed(rejected))
+
+    def _counter_replied(self, name: int, outcome: Outcome, total: float, latency_ms: float) -> None:
+        self._handle_event(CounterReply(name, outcome, total, latency_ms))
+
+    def _gossip_received(self, sender: int, body: bytes) -> None:
+        self._handle_event(GossipReceived(sender, body))
+
+    # Actions of the policy
+
+    def _handle_event(self, event: Event) -> None:
+        for action in self.engine.handle(self._clock(), event):
+            self._actions[type(action)](action)
+
+    def _reject_request(self, action: RejectRequest) -> None:
+        request = self.requests.by_number.get(action.request_id)
+        if request is not None:
+            status = 503 if request.attempt_count else 429
+            self.requests.respond(request, status, retry_after_ms=action.retry_after)
+
+    def _fail_request(self, action: FailRequest) -> None:
+        request = self.requests.by_number.get(action.request_id)
+        if request is not None:
+            self.requests.respond(request, 502)
+
+    def _add_to_counter(self, action: AddToCounter) -> None:
+        if self.counter is not None:
+            self.counter.add(action.name, action.amount, action.time_to_live)
+
+    def _set_timer(self, action: SetTimer) -> None:
+        due_ms = self._clock() + action.delay
+        self._loop.call_later(action.delay / 1000, self.fire_timer, due_ms, action.token)
+
+    def fire_timer(self, due_ms: float, token: int) -> None:
+        """Tell the policy that its timer has run out, once the clock says so.
+
+        The loop's time is that of its turn's start, so its timers may come early by the length of a turn; the
+        policy ignores a timer that comes before its time, and would never set it again.
+        """
+        early_ms = due_ms - self._clock()
+        if early_ms > 0:
+            self._loop.call_later(math.ceil(early_ms) / 1000, self.fire_timer, due_ms, token)
+        else:
+            self._handle_event(TimerFired(token))
+
+    def _broadcast_gossip(self, action: BroadcastGossip) -> None:
+        if self._gossip is not None:
+            self._gossip.broadcast(action.body)
+
+    def _log_message(self, action: LogMessage) -> None:
+        log.info("policy_message text=%s", action.text)
+
+    def _poll_discovery(self, _: PollDiscovery) -> None:
+        self.poll_discovery()
+
+    def _ignore(self, _: SendHealthCheck) -> None:
+        pass
+
+    # The process
+
+    def _sweep(self) -> None:
+        self.pool.close_expired()
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
+
+    def close(self) -> None:
+        """Close all sockets and connections."""
+        self._sweep_timer.cancel()
+        if self.counter is not None:
+            self.counter.close()
+        if self._gossip is not None:
+            self._gossip.close()
+        self.pool.close()
