--- a/limiter/__main__.py
+++ b/limiter/__main__.py
@@ -15,12 +15,12 @@
 
 import uvloop
 
+from limiter.configuration.config import Address, Config, ConfigError, load, reload
 from limiter.model.settings import Settings
+from limiter.transport.clients.listener import Listener
 from limiter.transport.clock import Clock
-from limiter.transport.config import Address, Config, ConfigError, load, reload
-from limiter.transport.discovery_watch import DiscoveryWatch, NameNumbering, PollPacing
-from limiter.transport.listener import Listener
-from limiter.transport.proxy import Proxy
+from limiter.transport.discovery.discovery_watch import DiscoveryWatch, NameNumbering, PollPacing
+from limiter.transport.driver.proxy import Proxy
 
 # At start discovery is waited for so long; after that the list of the configuration has to do.
 DISCOVERY_WAIT_SECONDS = 1.0
--- /dev/null
+++ b/limiter/configuration/__init__.py
@@ -0,0 +1,1 @@
+"""The configuration file: reading, checking and reloading it."""
--- a/limiter/policy/admission.py
+++ b/limiter/policy/admission.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass, field
 
 from limiter.model.actions import RejectRequest
-from limiter.model.context import PolicyContext, Timer
 from limiter.model.events import ClientRequest, CounterReply, Outcome
 from limiter.model.records import CustomerRecord, RequestRecord
 from limiter.policy.concurrency_limit import ConcurrencyLimit
+from limiter.policy.context import PolicyContext, Timer
 from limiter.policy.retries import AttemptManager
 from limiter.policy.throttle import SAMPLE_INTERVAL_MS, UPDATE_INTERVAL_MS
 from limiter.policy.token_bucket import TokenBuckets
--- a/limiter/policy/concurrency_limit.py
+++ b/limiter/policy/concurrency_limit.py
@@ -8,8 +8,8 @@
 import math
 from dataclasses import dataclass
 
-from limiter.model.context import PolicyContext
 from limiter.model.settings import Settings
+from limiter.policy.context import PolicyContext
 from limiter.policy.server_selection import ServerSelector
 from limiter.policy.throttle import EWMA_WEIGHT, TARGET_UTILIZATION, UPDATE_INTERVAL_MS, clamped
 from limiter.policy.usage_gossip import UsageGossip
--- a/limiter/policy/discovery_backoff.py
+++ b/limiter/policy/discovery_backoff.py
@@ -10,11 +10,11 @@
 
 import math
 
-from limiter.gossip_messages import decode_report, encode_report, is_report
+from limiter.codecs.gossip_messages import decode_report, encode_report, is_report
 from limiter.model.actions import BroadcastGossip, PollDiscovery
-from limiter.model.context import PolicyContext, Timer
 from limiter.model.events import DiscoveryPollFailed, EndpointId, EndpointsChanged, EndpointState
 from limiter.model.tables import ServerTable
+from limiter.policy.context import PolicyContext, Timer
 from limiter.policy.throttle import clamped
 
 SLOT_MS = 1000.0  # four fit into the 6 s after which a change must be known, with time for poll and gossip
--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -9,10 +9,10 @@
 
 from limiter.model import events
 from limiter.model.actions import Action
-from limiter.model.context import PolicyContext, Timer
 from limiter.model.settings import Settings, validate_settings
 from limiter.policy.admission import AdmissionController
 from limiter.policy.concurrency_limit import ConcurrencyLimit, unseen_load_share
+from limiter.policy.context import PolicyContext, Timer
 from limiter.policy.discovery_backoff import DiscoveryBackoff
 from limiter.policy.outlier_detection import OutlierDetector
 from limiter.policy.retries import AttemptManager
--- a/limiter/policy/outlier_detection.py
+++ b/limiter/policy/outlier_detection.py
@@ -6,9 +6,9 @@
 import math
 from dataclasses import dataclass
 
-from limiter.model.context import PolicyContext
 from limiter.model.events import AttemptEnded, Outcome
 from limiter.model.records import ServerRecord
+from limiter.policy.context import PolicyContext
 from limiter.policy.throttle import SAMPLE_INTERVAL_MS
 
 OUTCOME_WEIGHT = 0.2  # of the newest outcome in a server's record; a quarter of it in the fleet's
--- a/limiter/policy/retries.py
+++ b/limiter/policy/retries.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 
 from limiter.model.actions import FailRequest, RejectRequest, SendAttempt
-from limiter.model.context import PolicyContext
 from limiter.model.events import NEVER_RAN, AttemptEnded, ClientDisconnected, Outcome, StreamStarted
 from limiter.model.records import RequestRecord
 from limiter.model.settings import Idempotency
 from limiter.policy.concurrency_limit import ConcurrencyLimit
+from limiter.policy.context import PolicyContext
 from limiter.policy.server_selection import ServerSelector
 from limiter.policy.throttle import SAMPLE_INTERVAL_MS, UPDATE_INTERVAL_MS
 from limiter.policy.token_bucket import TokenBuckets
--- a/limiter/policy/server_selection.py
+++ b/limiter/policy/server_selection.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 from heapq import nsmallest
 
-from limiter.model.context import PolicyContext
 from limiter.model.events import EndpointsChanged
 from limiter.model.records import RequestRecord, ServerRecord
 from limiter.model.settings import DedupScope, Idempotency
 from limiter.model.tables import ServerTable
+from limiter.policy.context import PolicyContext
 from limiter.policy.outlier_detection import OutlierDetector
 
 MAX_CANDIDATES = 100  # that one choice looks at: what is known of few servers beats an even draw
--- a/limiter/policy/token_bucket.py
+++ b/limiter/policy/token_bucket.py
@@ -7,11 +7,11 @@
 
 import math
 
-from limiter.model.context import PolicyContext
 from limiter.model.events import ClientRequest
 from limiter.model.records import CustomerRecord, PlanHistory
 from limiter.model.tables import CustomerTable
 from limiter.policy import throttle
+from limiter.policy.context import PolicyContext
 from limiter.policy.usage_gossip import FORGET_AFTER_MS
 
 OVERDUE_MS = 500.0  # a sample wanted for longer than this counts as missing
--- a/limiter/policy/usage_gossip.py
+++ b/limiter/policy/usage_gossip.py
@@ -7,12 +7,12 @@
 
 import math
 
-from limiter.gossip_messages import UsageWriter, decode_usage
+from limiter.codecs.gossip_messages import UsageWriter, decode_usage
 from limiter.model.actions import BroadcastGossip
-from limiter.model.context import PolicyContext, Timer
 from limiter.model.events import ClientRequest
 from limiter.model.records import CustomerRecord, CustomerUsage
 from limiter.model.tables import pop_idle
+from limiter.policy.context import PolicyContext, Timer
 from limiter.policy.throttle import EWMA_WEIGHT, TARGET_UTILIZATION, UPDATE_INTERVAL_MS, updated_probability
 
 CONCURRENCY_TARGET = 0.8  # attempts in flight vary by chance, and those beyond the cap count against it too
--- a/limiter/policy/usage_sampling.py
+++ b/limiter/policy/usage_sampling.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 
 from limiter.model.actions import AddToCounter
-from limiter.model.context import PolicyContext
 from limiter.model.events import CounterReply, Outcome
 from limiter.model.records import CustomerRecord, counter_name_of
 from limiter.policy import throttle
+from limiter.policy.context import PolicyContext
 from limiter.policy.token_bucket import TokenBuckets
 from limiter.policy.usage_gossip import UsageGossip
 
--- a/limiter/simulator/adapter.py
+++ b/limiter/simulator/adapter.py
@@ -10,9 +10,9 @@
 from dataclasses import replace
 from typing import BinaryIO
 
+from limiter.codecs.settings_text import SettingsText, parse_load_fields, parse_settings
 from limiter.model.events import Event, LoadMetric
 from limiter.policy.engine import PolicyEngine
-from limiter.settings_text import SettingsText, parse_load_fields, parse_settings
 from limiter.simulator.action_encoder import encode_action
 from limiter.simulator.errors import WireError
 from limiter.simulator.event_decoder import EventDecoder, InstanceClosed, InstanceOpened, UndecodedLoadReport
--- /dev/null
+++ b/limiter/transport/clients/__init__.py
@@ -0,0 +1,1 @@
+"""Connections of clients: accepting, parsing requests, writing responses, graceful shutdown."""
--- /dev/null
+++ b/limiter/transport/counter/__init__.py
@@ -0,0 +1,1 @@
+"""The client of the shared counter, over RESP2."""
--- /dev/null
+++ b/limiter/transport/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The client of discovery: long polls for the endpoint list, and its parsing."""
--- /dev/null
+++ b/limiter/transport/driver/__init__.py
@@ -0,0 +1,1 @@
+"""Carries the policy's actions out and hands it events: the requests in hand and their attempts."""
--- /dev/null
+++ b/limiter/transport/gossip/__init__.py
@@ -0,0 +1,1 @@
+"""Datagrams between limiters, over UDP."""
--- a/scale/hollow/gossip_age.py
+++ b/scale/hollow/gossip_age.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from limiter import gossip_messages
+from limiter.codecs import gossip_messages
 from limiter.policy.engine import PolicyEngine
 from scale.hollow.customers import Customer
 
--- a/scale/process/fleet.py
+++ b/scale/process/fleet.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from limiter.gossip_messages import UsageWriter
+from limiter.codecs.gossip_messages import UsageWriter
 
 GOSSIP_INTAKE_PER_S = 40  # messages that a limiter takes in
 MAX_LIMITER_SET_SIZE = 40  # limiters that a customer's requests come in through
--- a/scale/process/module_bench.py
+++ b/scale/process/module_bench.py
@@ -6,8 +6,8 @@
 
 from hdrh.histogram import HdrHistogram
 
+from limiter.configuration.config import parse
 from limiter.model.actions import Action, AddToCounter, SendAttempt, SetTimer
-from limiter.model.context import Timer
 from limiter.model.events import (
     AttemptEnded,
     ClientRequest,
@@ -17,9 +17,9 @@
     Outcome,
     TimerFired,
 )
+from limiter.policy.context import Timer
 from limiter.policy.engine import PolicyEngine
 from limiter.policy.throttle import UPDATE_INTERVAL_MS
-from limiter.transport.config import parse
 from scale.process.fleet import MAX_LIMITER_SET_SIZE, plan_of, settings_document
 
 # A token that the module has no timer for: of the event, only the round that is due happens.
--- a/scale/process/tier_load.py
+++ b/scale/process/tier_load.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from limiter.policy.usage_gossip import INTAKE_SHARE, MIN_INTERVAL_MS
-from limiter.transport.discovery_watch import PollPacing
+from limiter.transport.discovery.discovery_watch import PollPacing
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/policy/test_discovery_backoff.py
+++ b/tests/policy/test_discovery_backoff.py
@@ -6,9 +6,8 @@
 
 import pytest
 
-from limiter.gossip_messages import MAX_MESSAGE_BYTES, REPORT_PREFIX, decode_report
+from limiter.codecs.gossip_messages import MAX_MESSAGE_BYTES, REPORT_PREFIX, decode_report
 from limiter.model.actions import PollDiscovery
-from limiter.model.context import PolicyContext
 from limiter.model.events import (
     DiscoveryPollFailed,
     Endpoint,
@@ -17,6 +16,7 @@
     GossipReceived,
 )
 from limiter.model.tables import ServerTable
+from limiter.policy.context import PolicyContext
 from limiter.policy.discovery_backoff import MAX_COPIES, DiscoveryBackoff
 from tests.support.policy_driver import (
     PolicyDriver,
--- a/tests/policy/test_usage_gossip.py
+++ b/tests/policy/test_usage_gossip.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from limiter.gossip_messages import ENTRY_BYTES, GROUP_HEADER, HEADER, MAX_MESSAGE_BYTES
+from limiter.codecs.gossip_messages import ENTRY_BYTES, GROUP_HEADER, HEADER, MAX_MESSAGE_BYTES
 from limiter.model.actions import BroadcastGossip, RejectRequest
-from limiter.model.context import PolicyContext
 from limiter.model.events import GossipReceived, Outcome
 from limiter.model.settings import QuotaPlan, Settings
+from limiter.policy.context import PolicyContext
 from limiter.policy.usage_gossip import FORGET_AFTER_MS, INTAKE_SHARE, SILENT_INTERVALS, UsageGossip
 from tests.support.policy_driver import PolicyDriver, make_driver, settings
 
--- a/tests/scale/test_process_standins.py
+++ b/tests/scale/test_process_standins.py
@@ -13,13 +13,13 @@
 import hiredis
 import pytest
 
-from limiter.gossip_messages import decode_usage
-from limiter.model.context import PolicyContext
+from limiter.codecs.gossip_messages import decode_usage
+from limiter.configuration.config import parse
 from limiter.model.events import Endpoint, EndpointState
 from limiter.model.settings import Settings
+from limiter.policy.context import PolicyContext
 from limiter.policy.usage_gossip import UsageGossip
-from limiter.transport.config import parse
-from limiter.transport.discovery_watch import NameNumbering, members
+from limiter.transport.discovery.discovery_watch import NameNumbering, members
 from scale.process.counter import Counter
 from scale.process.discovery import Discovery
 from scale.process.endpoint_list import EndpointList
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from limiter.codecs.settings_text import SettingsText, parse_load_fields, parse_settings
 from limiter.model.events import LoadMetric
-from limiter.settings_text import SettingsText, parse_load_fields, parse_settings
 from limiter.simulator.errors import WireError
 from tests.support.simulator_frames import (
     SERVER,
--- a/tests/support/in_process_limiter.py
+++ b/tests/support/in_process_limiter.py
@@ -8,11 +8,11 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
+from limiter.configuration.config import parse
 from limiter.model.events import Endpoint, EndpointState
+from limiter.transport.clients.listener import Listener
 from limiter.transport.clock import Clock
-from limiter.transport.config import parse
-from limiter.transport.listener import Listener
-from limiter.transport.proxy import Proxy
+from limiter.transport.driver.proxy import Proxy
 from tests.support.client import Connection, http_request
 from tests.support.fake_server import Answer, FakeServer, ReceivedRequest
 from tests.support.harness import LimiterHarness, wait_for_version
--- a/tests/transport/test_client_response.py
+++ b/tests/transport/test_client_response.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from limiter.transport.client_response import encode_response
+from limiter.transport.clients.client_response import encode_response
 
 
 @pytest.mark.parametrize(
--- a/tests/transport/test_counter_client.py
+++ b/tests/transport/test_counter_client.py
@@ -8,8 +8,8 @@
 import pytest
 
 from limiter.model.events import Outcome
-from limiter.transport import counter_client as counter_client_module
-from limiter.transport.counter_client import CounterClient
+from limiter.transport.counter import counter_client as counter_client_module
+from limiter.transport.counter.counter_client import CounterClient
 from tests.support.client import http_request
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_server import never_answer
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from limiter.transport.discovery_watch import DiscoveryWatch, NameNumbering, PollPacing, members
+from limiter.transport.discovery.discovery_watch import DiscoveryWatch, NameNumbering, PollPacing, members
 from tests.support.client import HEALTH_CHECK, http_request
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.harness import LimiterHarness, run_scenario, wait_for_version
--- a/tests/transport/test_gossip_socket.py
+++ b/tests/transport/test_gossip_socket.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from limiter.gossip_messages import REPORT_PREFIX
-from limiter.transport.config import Address, ConfigError, parse
+from limiter.codecs.gossip_messages import REPORT_PREFIX
+from limiter.configuration.config import Address, ConfigError, parse
 from tests.support.client import http_request
 from tests.support.harness import LimiterHarness, running_limiter
 from tests.support.limiter_settings import settings, settings_with_quota
--- a/tests/transport/test_graceful_shutdown.py
+++ b/tests/transport/test_graceful_shutdown.py
@@ -8,7 +8,7 @@
 
 from limiter import __main__
 from limiter.model.settings import QuotaPlan, RequestClass, Settings
-from limiter.transport.connection_registry import IDLE_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS
+from limiter.transport.clients.connection_registry import IDLE_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS
 from tests.support.client import http_request
 from tests.support.fake_server import FakeServer, ReceivedRequest, never_answer
 from tests.support.in_process_limiter import RawClient, in_process_limiter, request_ids
--- a/tests/transport/test_lifecycle.py
+++ b/tests/transport/test_lifecycle.py
@@ -13,13 +13,13 @@
 
 import pytest
 
+from limiter.codecs.settings_text import SettingsText, parse_settings
+from limiter.configuration.config import flatten, parse
 from limiter.model.actions import Action
 from limiter.model.events import Event, TimerFired
 from limiter.model.settings import DedupScope, Idempotency
-from limiter.settings_text import SettingsText, parse_settings
 from limiter.transport.clock import Clock
-from limiter.transport.config import flatten, parse
-from limiter.transport.proxy import Proxy
+from limiter.transport.driver.proxy import Proxy
 from tests.support.client import http_request
 from tests.support.fake_server import never_answer, respond_with
 from tests.support.harness import ROOT, LimiterHarness, launch_limiter, run_scenario
--- a/tests/transport/test_paused_process.py
+++ b/tests/transport/test_paused_process.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from limiter.transport.connection_registry import READ_TIMEOUT_SECONDS
-from limiter.transport.proxied_request import ProxiedRequest
-from limiter.transport.server_connection import ServerConnection
-from limiter.transport.server_pool import SETTLE_SECONDS
+from limiter.transport.clients.connection_registry import READ_TIMEOUT_SECONDS
+from limiter.transport.driver.proxied_request import ProxiedRequest
+from limiter.transport.servers.server_connection import ServerConnection
+from limiter.transport.servers.server_pool import SETTLE_SECONDS
 from limiter.transport.sockets import hung_up
 from tests.support.client import HEALTH_CHECK, Connection, http_request
 from tests.support.fake_server import FakeServer, respond_with
--- a/tests/transport/test_requests.py
+++ b/tests/transport/test_requests.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from limiter.transport.server_connection import STALL_SECONDS
-from limiter.transport.server_pool import SETTLE_SECONDS
+from limiter.transport.servers.server_connection import STALL_SECONDS
+from limiter.transport.servers.server_pool import SETTLE_SECONDS
 from tests.support.client import HEALTH_CHECK, Response, http_request
 from tests.support.fake_server import (
     Answer,
--- a/tests/transport/test_server_connection_races.py
+++ b/tests/transport/test_server_connection_races.py
@@ -8,8 +8,8 @@
 import pytest
 
 from limiter.model.events import Outcome
-from limiter.transport import server_pool
-from limiter.transport.attempt import Attempt
+from limiter.transport.servers import server_pool
+from limiter.transport.servers.attempt import Attempt
 from limiter.transport.sockets import unread
 from tests.support.client import http_request
 from tests.support.fake_server import FakeServer, ReceivedRequest, never_answer, respond_with
--- a/tests/transport/test_server_pool.py
+++ b/tests/transport/test_server_pool.py
@@ -10,10 +10,10 @@
 import pytest
 
 from limiter.model.events import Outcome
-from limiter.transport import server_pool as server_pool_module
-from limiter.transport.attempt import Attempt
-from limiter.transport.reuse_history import ReuseHistory
-from limiter.transport.server_pool import SETTLE_SECONDS, ServerPool
+from limiter.transport.servers import server_pool as server_pool_module
+from limiter.transport.servers.attempt import Attempt
+from limiter.transport.servers.reuse_history import ReuseHistory
+from limiter.transport.servers.server_pool import SETTLE_SECONDS, ServerPool
 from tests.support.client import http_request
 from tests.support.fake_server import FakeServer, reset_connection, respond_with
 from tests.support.waiting import wait_until
--- a/tests/transport/test_startup.py
+++ b/tests/transport/test_startup.py
@@ -10,7 +10,7 @@
 import pytest
 
 from limiter import __main__
-from limiter.transport.config import parse
+from limiter.configuration.config import parse
 from tests.support.client import Connection, Response, http_request
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer
