--- a/limiter/model/actions.py
+++ b/limiter/model/actions.py
@@ -46,12 +46,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AddToCounter:
-    """Add an amount to a named count and read its total; CounterReply follows."""
+class IncrementCounter:
+    """Add an amount to the shared count under a key and read its total; CounterReply follows.
+
+    Attributes:
+        key: The key of the count, 64 bits.
+        amount: Units to add; 0 only reads the total.
+        time_to_live: Milliseconds after which a count that this call creates is forgotten. Later calls do not
+            extend it.
+    """
 
-    name: int
-    amount: float  # 0 only reads
-    time_to_live: float  # of a count that this call creates; later calls do not extend it
+    key: int
+    amount: float
+    time_to_live: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +100,7 @@
     | RejectRequest
     | FailRequest
     | CancelAttempt
-    | AddToCounter
+    | IncrementCounter
     | SetTimer
     | SendHealthCheck
     | PollDiscovery
--- a/limiter/model/events.py
+++ b/limiter/model/events.py
@@ -18,12 +18,12 @@
 
     OK = "ok"
     ERROR = "error"  # the server answered with an error; it may have run the request
-    REJECTED = "full"  # the other side rejected it without running it
+    REJECTED = "rejected"  # the other side rejected it without running it
     TIMEOUT = "timeout"  # no answer in time; it may have run, or may still run
     CONNECT_FAILED = "connect failed"
     RESET = "reset"  # the connection broke while the attempt was in flight; it may have run
     CANCELLED = "cancelled"  # the policy stopped waiting; it may have run
-    REQUEST_OVER = "moot"  # never sent: the request already had its final answer, or no attempt left
+    REQUEST_OVER = "request over"  # never sent: the request already had its final answer, or no attempt left
 
 
 # Outcomes after which the server certainly did not run the request.
@@ -128,11 +128,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterReply:
-    """A counter call is over. After TIMEOUT the amount may or may not have been added."""
+    """A counter call is over. After TIMEOUT the amount may or may not have been added.
 
-    name: int
+    Attributes:
+        key: The key of the count that was called.
+        outcome: How the call ended.
+        total: The count after this call, all limiters together. Valid with `Outcome.OK` only.
+        latency: Milliseconds from the call to its end.
+    """
+
+    key: int
     outcome: Outcome
-    total: float  # of all limiters, this call included; valid with OK only
+    total: float
     latency: float
 
 
--- a/limiter/model/records.py
+++ b/limiter/model/records.py
@@ -14,7 +14,7 @@
 _MASK_64 = 2**64 - 1
 
 
-def counter_name_of(customer: int, epoch: int, slot_length: float = 0.0) -> int:
+def counter_key(customer: int, epoch: int, slot_length: float = 0.0) -> int:
     """The name under which all limiters count a customer's use in an epoch (a splitmix64 hash).
 
     Epochs that are slots have names of their own, by the length of a slot.
@@ -51,7 +51,7 @@
     uses_slots: bool = False  # the name that was called last is that of a slot
     epoch_length: float = 0.0
     epoch_start: float = 0.0
-    counter_name: int = 0
+    counter_key: int = 0
     counter_total: float = 0.0  # last total of this epoch's name
     counter_total_at: float = -1.0
     unreported_units: float = 0.0  # own use not yet added to the counter
--- a/limiter/model/tables.py
+++ b/limiter/model/tables.py
@@ -32,7 +32,7 @@
         """A customer may be forgotten once it has had no request for this long."""
         self._forget_after = forget_after
         self.records: dict[int, CustomerRecord] = {}  # the longest idle first
-        self.by_counter_name: dict[int, CustomerRecord] = {}
+        self.by_counter_key: dict[int, CustomerRecord] = {}
 
     def take(self, key: int) -> CustomerRecord | None:
         """Take a record out, to be put back with `put`."""
@@ -51,13 +51,13 @@
             if idle.is_busy:
                 self.records[key] = idle  # it does not keep the others
             else:
-                self.by_counter_name.pop(idle.counter_name, None)
+                self.by_counter_key.pop(idle.counter_key, None)
 
-    def rename_counter(self, customer: CustomerRecord, name: int) -> None:
+    def change_counter_key(self, customer: CustomerRecord, name: int) -> None:
         """Count a customer under another name; replies for the name before it are no longer its own."""
-        self.by_counter_name.pop(customer.counter_name, None)
-        customer.counter_name = name
-        self.by_counter_name[name] = customer
+        self.by_counter_key.pop(customer.counter_key, None)
+        customer.counter_key = name
+        self.by_counter_key[name] = customer
 
 
 class ServerTable:
--- a/limiter/policy/usage_sampling.py
+++ b/limiter/policy/usage_sampling.py
@@ -6,9 +6,9 @@
 
 from dataclasses import dataclass
 
-from limiter.model.actions import AddToCounter
+from limiter.model.actions import IncrementCounter
 from limiter.model.events import CounterReply, Outcome
-from limiter.model.records import CustomerRecord, counter_name_of
+from limiter.model.records import CustomerRecord, counter_key
 from limiter.policy import throttle
 from limiter.policy.context import PolicyContext
 from limiter.policy.token_bucket import TokenBuckets
@@ -53,7 +53,7 @@
         customer.uses_slots = is_thin and self.gossip.is_fresh(now)
         self._enter_epoch(now, key, customer)
         amount = customer.start_call(now)
-        self.context.actions.append(AddToCounter(customer.counter_name, amount, 2 * customer.epoch_length))
+        self.context.actions.append(IncrementCounter(customer.counter_key, amount, 2 * customer.epoch_length))
         return True
 
     def _enter_epoch(self, now: float, key: int, customer: CustomerRecord) -> None:
@@ -61,8 +61,8 @@
         epoch = int(now // length)
         if (epoch, length) != (customer.epoch, customer.epoch_length):
             customer.start_epoch(epoch, length)
-            name = counter_name_of(key, epoch, length if customer.uses_slots else 0.0)
-            self.buckets.table.rename_counter(customer, name)
+            name = counter_key(key, epoch, length if customer.uses_slots else 0.0)
+            self.buckets.table.change_counter_key(customer, name)
 
     def _epoch_length(self, customer: CustomerRecord) -> float:
         """Time that one counter name spans; all limiters with the same settings derive the same."""
@@ -75,7 +75,7 @@
 
     def handle_reply(self, now: float, reply: CounterReply) -> CustomerRecord | None:
         """Take in a reply; the customer that it is for, if its call is still in flight."""
-        customer = self.buckets.table.by_counter_name.get(reply.name)
+        customer = self.buckets.table.by_counter_key.get(reply.key)
         if customer is None or customer.units_in_call is None:
             return None
         added = customer.take_units_in_call()
--- a/limiter/simulator/action_encoder.py
+++ b/limiter/simulator/action_encoder.py
@@ -11,10 +11,10 @@
 
 from limiter.model.actions import (
     Action,
-    AddToCounter,
     BroadcastGossip,
     CancelAttempt,
     FailRequest,
+    IncrementCounter,
     LogMessage,
     PollDiscovery,
     RejectRequest,
@@ -30,7 +30,7 @@
 SET_TIMER: Final = 84  # NOTIFY_ME
 BROADCAST_GOSSIP: Final = 86  # PUBLISH
 SEND_HEALTH_CHECK: Final = 87  # PROBE
-ADD_TO_COUNTER: Final = 88  # ADD_TO
+INCREMENT_COUNTER: Final = 88  # ADD_TO
 LOG_MESSAGE: Final = 89  # NOTE_DOWN
 SEND_ATTEMPT: Final = 90  # FORWARD
 POLL_DISCOVERY: Final = 92  # SUBSCRIBE
@@ -46,7 +46,7 @@
 _SET_TIMER = struct.Struct(">BHdI")  # limiter, fromNow, handle
 _BROADCAST_GOSSIP = struct.Struct(">BHHH")  # limiter, dest, length of bytes
 _SEND_HEALTH_CHECK = struct.Struct(">BH6s")  # limiter, server
-_ADD_TO_COUNTER = struct.Struct(">BHdQf")  # limiter, time to live, cname, by
+_INCREMENT_COUNTER = struct.Struct(">BHdQf")  # limiter, time to live, cname, by
 _LOG_MESSAGE = struct.Struct(">BHH")  # limiter, length of msg
 _SEND_ATTEMPT = struct.Struct(">BHId6s")  # limiter, requestId, giveUpAfter, server
 _POLL_DISCOVERY = struct.Struct(">BHB")  # limiter, want
@@ -81,8 +81,10 @@
     return _SEND_HEALTH_CHECK.pack(SEND_HEALTH_CHECK, instance, action.endpoint_id)
 
 
-def _encode_add_to_counter(instance: int, action: AddToCounter) -> bytes:
-    return _ADD_TO_COUNTER.pack(ADD_TO_COUNTER, instance, action.time_to_live, action.name, action.amount)
+def _encode_increment_counter(instance: int, action: IncrementCounter) -> bytes:
+    return _INCREMENT_COUNTER.pack(
+        INCREMENT_COUNTER, instance, action.time_to_live, action.key, action.amount
+    )
 
 
 def _encode_log_message(instance: int, action: LogMessage) -> bytes:
@@ -106,7 +108,7 @@
     SetTimer: _encode_set_timer,
     BroadcastGossip: _encode_broadcast_gossip,
     SendHealthCheck: _encode_send_health_check,
-    AddToCounter: _encode_add_to_counter,
+    IncrementCounter: _encode_increment_counter,
     LogMessage: _encode_log_message,
     SendAttempt: _encode_send_attempt,
     PollDiscovery: _encode_poll_discovery,
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -10,10 +10,10 @@
 
 from limiter.configuration.config import Address, Config
 from limiter.model.actions import (
-    AddToCounter,
     BroadcastGossip,
     CancelAttempt,
     FailRequest,
+    IncrementCounter,
     LogMessage,
     PollDiscovery,
     RejectRequest,
@@ -92,7 +92,7 @@
             CancelAttempt: self.forwarder.cancel_attempt,
             RejectRequest: self._reject_request,
             FailRequest: self._fail_request,
-            AddToCounter: self._add_to_counter,
+            IncrementCounter: self._increment_counter,
             SetTimer: self._set_timer,
             BroadcastGossip: self._broadcast_gossip,
             LogMessage: self._log_message,
@@ -134,8 +134,8 @@
         """Note that a poll brought no list; `rejected` says that discovery turned it away."""
         self._handle_event(DiscoveryPollFailed(rejected))
 
-    def _counter_replied(self, name: int, outcome: Outcome, total: float, latency_ms: float) -> None:
-        self._handle_event(CounterReply(name, outcome, total, latency_ms))
+    def _counter_replied(self, key: int, outcome: Outcome, total: float, latency_ms: float) -> None:
+        self._handle_event(CounterReply(key, outcome, total, latency_ms))
 
     def _gossip_received(self, sender: int, body: bytes) -> None:
         self._handle_event(GossipReceived(sender, body))
@@ -157,9 +157,9 @@
         if request is not None:
             self.requests.respond(request, 502)
 
-    def _add_to_counter(self, action: AddToCounter) -> None:
+    def _increment_counter(self, action: IncrementCounter) -> None:
         if self.counter is not None:
-            self.counter.add(action.name, action.amount, action.time_to_live)
+            self.counter.add(action.key, action.amount, action.time_to_live)
 
     def _set_timer(self, action: SetTimer) -> None:
         due_ms = self._clock() + action.delay
--- a/scale/hollow/counter.py
+++ b/scale/hollow/counter.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import NamedTuple
 
-from limiter.model.actions import AddToCounter
+from limiter.model.actions import IncrementCounter
 from limiter.model.events import Outcome
 from scale.hollow.network import Network
 from scale.hollow.plan import CounterParameters
@@ -42,7 +42,7 @@
         self._service_time = 1000 / parameters.calls_per_s  # ms
         self._idle_at = 0.0
 
-    def add(self, zone: int, call: AddToCounter, on_reply: ReplyCallback) -> None:
+    def add(self, zone: int, call: IncrementCounter, on_reply: ReplyCallback) -> None:
         """Call from that zone; `on_reply` is called exactly once, at the time-out at the latest."""
         self.calls += 1
         called_at = self._clock.now
@@ -56,7 +56,7 @@
         """End an outage; totals were kept."""
         self.is_down = False
 
-    def _arrived(self, zone: int, call: AddToCounter, on_reply: ReplyCallback, called_at: float) -> None:
+    def _arrived(self, zone: int, call: IncrementCounter, on_reply: ReplyCallback, called_at: float) -> None:
         now = self._clock.now
         delay = self._network.delay(zone, self._zone)
         if self.is_down:
@@ -77,13 +77,13 @@
         else:
             self._clock.call_at(done_at + delay, on_reply, outcome, total)
 
-    def _add_to_total(self, now: float, call: AddToCounter) -> float:
-        total = self.totals.get(call.name)
+    def _add_to_total(self, now: float, call: IncrementCounter) -> float:
+        total = self.totals.get(call.key)
         if total is None or now >= total.expires_at:
             lifetime = min(call.time_to_live, self._parameters.max_time_to_live)
             total = CounterTotal(0.0, now + lifetime)
         total = CounterTotal(total.value + call.amount, total.expires_at)
-        self.totals[call.name] = total
+        self.totals[call.key] = total
         return total.value
 
     def _time_out(self, called_at: float, on_reply: ReplyCallback) -> None:
--- a/scale/hollow/limiters.py
+++ b/scale/hollow/limiters.py
@@ -10,10 +10,10 @@
 
 from limiter.model.actions import (
     Action,
-    AddToCounter,
     BroadcastGossip,
     CancelAttempt,
     FailRequest,
+    IncrementCounter,
     RejectRequest,
     SendAttempt,
     SetTimer,
@@ -145,8 +145,8 @@
                 self.clients.request_rejected(limiter, action.request_id)
             case FailRequest():
                 self._ledger.finish(limiter, action.request_id, FinalAnswer.FAILED)
-            case AddToCounter():
-                self._add_to_counter(limiter, action)
+            case IncrementCounter():
+                self._increment_counter(limiter, action)
             case BroadcastGossip():
                 self._broadcast_gossip(limiter, engine, action.body)
             case CancelAttempt():
@@ -158,13 +158,13 @@
         if limiter.incarnation == incarnation:
             self.feed(limiter, TimerFired(token))
 
-    def _add_to_counter(self, limiter: Limiter, call: AddToCounter) -> None:
+    def _increment_counter(self, limiter: Limiter, call: IncrementCounter) -> None:
         called_at = self._clock.now
         incarnation = limiter.incarnation
 
         def replied(outcome: Outcome, total: float) -> None:
             if limiter.incarnation == incarnation:
-                self.feed(limiter, CounterReply(call.name, outcome, total, self._clock.now - called_at))
+                self.feed(limiter, CounterReply(call.key, outcome, total, self._clock.now - called_at))
 
         self.counter.add(limiter.zone, call, replied)
 
--- a/scale/hollow/run.py
+++ b/scale/hollow/run.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 import gc
-from collections.abc import Iterator
+from collections.abc import Iterator, Mapping
 from contextlib import contextmanager
 from typing import Any
 
+from limiter.model.events import Outcome
 from limiter.policy.usage_gossip import INTAKE_SHARE
 from scale.experiment import Progress, Record
 from scale.hollow.gossip_age import AGE_STEP_MS
@@ -14,6 +15,8 @@
 from scale.hollow.rig import Rig
 from scale.hollow.tally import mean_and_max_rate, quantiles, ratio, rounded
 
+# Outcomes whose names in result lines differ from their names in the program: results of old runs stay comparable.
+OUTCOME_RESULT_NAMES = {Outcome.REJECTED: "full", Outcome.REQUEST_OVER: "moot"}
 PROGRESS_LINES = 10
 QUANTILE_LEVELS = {"p50": 0.5, "p90": 0.9, "p99": 0.99}
 MAX_AGE_STEPS = 10_000_000  # of the histogram
@@ -114,6 +117,15 @@
     }
 
 
+def _outcome_counts(outcomes: Mapping[Outcome, int]) -> dict[str, int]:
+    """Return how often each outcome occurred, under the names of result lines; those that did not are left out."""
+    return {
+        OUTCOME_RESULT_NAMES.get(outcome, outcome.value): count
+        for outcome, count in outcomes.items()
+        if count
+    }
+
+
 def _request_figures(rig: Rig) -> dict[str, Any]:
     tally = rig.tally
     answers = {answer.value: count for answer, count in tally.answers.items()}
@@ -129,7 +141,7 @@
         "units_beyond": tally.units_beyond_quota,
         "beyond_share": ratio(tally.units_beyond_quota, tally.units),
         "attempts": tally.attempts,
-        "outcomes": {outcome.value: count for outcome, count in tally.outcomes.items() if count},
+        "outcomes": _outcome_counts(tally.outcomes),
         "latency_ms": _named_quantiles(tally.latencies, MAX_LATENCY_US, 0.001),
     }
 
--- a/scale/process/module_bench.py
+++ b/scale/process/module_bench.py
@@ -7,7 +7,7 @@
 from hdrh.histogram import HdrHistogram
 
 from limiter.configuration.config import parse
-from limiter.model.actions import Action, AddToCounter, SendAttempt, SetTimer
+from limiter.model.actions import Action, IncrementCounter, SendAttempt, SetTimer
 from limiter.model.events import (
     AttemptEnded,
     ClientRequest,
@@ -104,9 +104,9 @@
             action = actions.pop(0)
             if isinstance(action, SendAttempt):
                 attempts.append(action)
-            elif isinstance(action, AddToCounter):
+            elif isinstance(action, IncrementCounter):
                 total = max(1.0, action.amount)
-                reply = CounterReply(action.name, Outcome.OK, total, COUNTER_LATENCY_MS)
+                reply = CounterReply(action.key, Outcome.OK, total, COUNTER_LATENCY_MS)
                 actions += self.feed("counter_reply", reply)
             elif isinstance(action, SetTimer) and action.token == Timer.USAGE_GOSSIP:
                 self.feed("tell", TimerFired(Timer.USAGE_GOSSIP))  # sent at once: nothing piles up
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -69,10 +69,10 @@
 def feed_counter_reply(driver: PolicyDriver, totals: dict[int, float], pick: int) -> None:
     """Answer the oldest counter call by a total that remote usage or a lost count may have changed."""
     call = driver.counter_calls[0]
-    totals[call.name] = totals.get(call.name, 0.0) + call.amount + pick % 3
+    totals[call.key] = totals.get(call.key, 0.0) + call.amount + pick % 3
     if pick % 5 == 0:
-        totals[call.name] = 0.0
-    driver.answer_counter(OUTCOMES[pick % len(OUTCOMES)], totals[call.name])
+        totals[call.key] = 0.0
+    driver.answer_counter(OUTCOMES[pick % len(OUTCOMES)], totals[call.key])
 
 
 @COMMON
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -136,11 +136,11 @@
     second_call_at = driver.now + 1000.0
     customer.unreported_units = 5.0
     sampler.call(first_call_at, 1, customer)
-    engine.handle(first_call_at, CounterReply(customer.counter_name, Outcome.TIMEOUT, 0.0, 50.0))
+    engine.handle(first_call_at, CounterReply(customer.counter_key, Outcome.TIMEOUT, 0.0, 50.0))
     customer.next_call_at = 0.0
     sampler.call(second_call_at, 1, customer)
     total = customer.counter_total + (5.0 if was_added else 0.0)
-    engine.handle(second_call_at, CounterReply(customer.counter_name, Outcome.OK, total, 2.0))
+    engine.handle(second_call_at, CounterReply(customer.counter_key, Outcome.OK, total, 2.0))
     assert customer.unreported_units == still_unreported
 
 
@@ -153,7 +153,7 @@
     tokens_before = customer.tokens
     driver.now += 500.0
     driver.engine.sampler.call(driver.now, 1, customer)
-    driver.engine.handle(driver.now, CounterReply(customer.counter_name, Outcome.OK, 2.0, 2.0))
+    driver.engine.handle(driver.now, CounterReply(customer.counter_key, Outcome.OK, 2.0, 2.0))
     assert customer.counter_total == 2.0
     assert customer.tokens <= tokens_before + 5.0  # the bucket is not filled anew
     assert customer.failed_calls == 0
@@ -212,7 +212,7 @@
         driver.answer_all_calls(Outcome.OK, 1.0)
     customers = driver.engine.buckets.table
     assert list(customers.records) == [1000]
-    assert len(customers.by_counter_name) == 1
+    assert len(customers.by_counter_key) == 1
     assert not driver.engine.attempts.requests
 
 
--- a/tests/policy/test_usage_sampling.py
+++ b/tests/policy/test_usage_sampling.py
@@ -21,7 +21,7 @@
     customer.counter_total_at = driver.now
     customer.units_in_call = 0.0
     driver.now += 1000.0
-    driver.feed(CounterReply(customer.counter_name, Outcome.OK, 40.0, 2.0))  # the split would stand for 7
+    driver.feed(CounterReply(customer.counter_key, Outcome.OK, 40.0, 2.0))  # the split would stand for 7
     assert customer.tokens == 0.0
 
 
@@ -35,7 +35,7 @@
     customer.expected_remote_units = 4.0
     customer.counter_total = 500.0
     customer.units_in_call = 2.0
-    driver.feed(CounterReply(customer.counter_name, Outcome.OK, 2.0, 2.0))
+    driver.feed(CounterReply(customer.counter_key, Outcome.OK, 2.0, 2.0))
     assert customer.tokens == pytest.approx(5.0)  # the expected remote usage stays used
 
 
--- a/tests/scale/test_hollow_standins.py
+++ b/tests/scale/test_hollow_standins.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from limiter.model.actions import AddToCounter
+from limiter.model.actions import IncrementCounter
 from limiter.model.events import Endpoint, EndpointsChanged, EndpointState, Outcome
 from scale.hollow.clock import FanOut, VirtualClock
 from scale.hollow.counter import SharedCounter
@@ -34,7 +34,7 @@
 
     def add(self, time_to_live: float, zone: int = 0) -> None:
         """Add 1 to the name."""
-        self.counter.add(zone, AddToCounter(COUNTER_NAME, 1.0, time_to_live), self._replied)
+        self.counter.add(zone, IncrementCounter(COUNTER_NAME, 1.0, time_to_live), self._replied)
 
     def _replied(self, outcome: Outcome, total: float) -> None:
         self.replies.append((outcome, total, self.clock.now))
--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -13,9 +13,9 @@
 
 from limiter.model.actions import (
     Action,
-    AddToCounter,
     CancelAttempt,
     FailRequest,
+    IncrementCounter,
     RejectRequest,
     SendAttempt,
     SetTimer,
@@ -128,7 +128,7 @@
         default_factory=dict
     )  # by request: the action's name, "served" or "gone"
     sent: dict[int, list[SentAttempt]] = field(default_factory=dict)  # by request
-    counter_calls: list[AddToCounter] = field(default_factory=list)  # not yet answered
+    counter_calls: list[IncrementCounter] = field(default_factory=list)  # not yet answered
     timers: list[tuple[float, int]] = field(default_factory=list)  # time and token
     actions: list[Action] = field(default_factory=list)
     admitted: list[tuple[float, int, float]] = field(default_factory=list)  # time, customer, units
@@ -169,7 +169,7 @@
                 self.answered[request_id] = type(action).__name__
             case CancelAttempt(request_id, attempt):
                 assert attempt < len(self.sent[request_id]), "cancelled an attempt never made"
-            case AddToCounter():
+            case IncrementCounter():
                 self.counter_calls.append(action)
             case SetTimer(delay, token):
                 self.timers.append((self.now + delay, token))
@@ -282,7 +282,7 @@
     def answer_counter(self, outcome: Outcome, total: float = 0.0) -> None:
         """Feed the reply to the oldest call of the counter, after 2 ms."""
         call = self.counter_calls.pop(0)
-        self.feed(CounterReply(call.name, outcome, total, latency=2.0))
+        self.feed(CounterReply(call.key, outcome, total, latency=2.0))
 
     def answer_all_calls(self, outcome: Outcome, total: float = 0.0) -> None:
         """Feed the same reply to each call of the counter, also to those made meanwhile."""
