--- a/scale/hollow/run.py
+++ b/scale/hollow/run.py
@@ -15,7 +15,7 @@
 from scale.hollow.rig import Rig
 from scale.hollow.tally import mean_and_max_rate, quantiles, ratio, rounded
 
-# Outcomes whose names in result lines differ from their names in the program: results of old runs stay comparable.
+# Result lines keep these names of outcomes, so that results of older runs stay comparable.
 OUTCOME_RESULT_NAMES = {Outcome.REJECTED: "full", Outcome.REQUEST_OVER: "moot"}
 PROGRESS_LINES = 10
 QUANTILE_LEVELS = {"p50": 0.5, "p90": 0.9, "p99": 0.99}
@@ -118,7 +118,7 @@
 
 
 def _outcome_counts(outcomes: Mapping[Outcome, int]) -> dict[str, int]:
-    """Return how often each outcome occurred, under the names of result lines; those that did not are left out."""
+    """Return the count of each outcome that occurred, by its name in result lines."""
     return {
         OUTCOME_RESULT_NAMES.get(outcome, outcome.value): count
         for outcome, count in outcomes.items()
