--- /dev/null
+++ b/tests/transport/test_sample_configuration.py
@@ -0,0 +1,80 @@
+"""The sample configuration that the README starts the limiter with is valid and starts as it stands."""
+
+from __future__ import annotations
+
+import http.client
+import os
+import re
+import signal
+import subprocess
+import sys
+import threading
+from collections.abc import Iterator
+from contextlib import contextmanager
+from pathlib import Path
+
+from limiter.configuration.config import load
+from tests.support.waiting import PATIENCE_SECONDS
+
+ROOT = Path(__file__).parents[2]
+SAMPLE = "deploy/sample/config.json"  # as the README names it, from the root
+LISTENING = re.compile(r"listening name=sample address=127\.0\.0\.1:(\d+)")
+
+
+@contextmanager
+def running_sample(**overrides: str) -> Iterator[subprocess.Popen[str]]:
+    """Run a limiter with the sample configuration; it is killed if the test takes too long.
+
+    Args:
+        overrides: environment variables that replace keys of the configuration.
+    """
+    environment = {**os.environ, "RELAY_CONFIG": SAMPLE, **overrides}
+    command = [sys.executable, "-m", "limiter"]
+    with subprocess.Popen(command, cwd=ROOT, env=environment, stderr=subprocess.PIPE, text=True) as process:
+        kill_timer = threading.Timer(PATIENCE_SECONDS, process.kill)
+        kill_timer.start()
+        try:
+            yield process
+        finally:
+            kill_timer.cancel()
+            process.kill()
+
+
+def read_port(process: subprocess.Popen[str]) -> int:
+    """Return the port that the limiter logs once it listens."""
+    assert process.stderr is not None
+    lines = []
+    for line in process.stderr:
+        if found := LISTENING.search(line):
+            return int(found[1])
+        lines.append(line)
+    message = f"the limiter ended without listening: {''.join(lines)}"
+    raise AssertionError(message)
+
+
+def test_the_sample_configuration_is_valid_and_uses_loopback_addresses_only() -> None:
+    config = load({"RELAY_CONFIG": str(ROOT / SAMPLE)})
+    assert config.name == "sample"
+    assert config.listen[0] == "127.0.0.1"
+    assert config.discovery[0] == "127.0.0.1"
+    assert config.counter is None
+    assert config.gossip is None
+    assert config.plan_names == ("unlimited", "standard")
+
+
+def test_the_readme_starts_the_limiter_with_the_sample_configuration() -> None:
+    readme = (ROOT / "README.md").read_text(encoding="utf-8")
+    assert f"RELAY_CONFIG={SAMPLE} .venv/bin/python -m limiter\n" in readme
+
+
+def test_a_limiter_with_the_sample_configuration_listens_and_is_not_ready_without_servers() -> None:
+    # Other programs may use the ports of the sample. Port 0 lets the kernel choose a free one, and nothing
+    # listens on port 1.
+    with running_sample(RELAY_LISTEN="127.0.0.1:0", RELAY_DISCOVERY="127.0.0.1:1") as process:
+        connection = http.client.HTTPConnection("127.0.0.1", read_port(process), timeout=PATIENCE_SECONDS)
+        connection.request("GET", "/_health")
+        response = connection.getresponse()
+        assert (response.status, response.read()) == (503, b"not ready\n")
+        connection.close()
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(PATIENCE_SECONDS) == 0
