--- /dev/null
+++ b/tests/policy/test_smoothing.py
@@ -0,0 +1,31 @@
+"""Moving averages, exponential decay and clamping."""
+
+from __future__ import annotations
+
+import math
+
+import pytest
+
+from limiter.policy.smoothing import clamp, decay_factor, ewma_step, weight_of_newest
+
+
+def test_a_sample_moves_the_average_by_its_weight() -> None:
+    assert ewma_step(10.0, 20.0, 0.2) == 12.0
+    assert ewma_step(10.0, 20.0, 1.0) == 20.0
+    assert ewma_step(10.0, 20.0, 0.0) == 10.0
+
+
+def test_a_value_decays_to_a_fraction_in_its_time_constant() -> None:
+    assert decay_factor(0.0, 3000.0) == 1.0
+    assert decay_factor(3000.0, 3000.0) == pytest.approx(1 / math.e)
+    assert decay_factor(6000.0, 3000.0) == pytest.approx(1 / math.e**2)
+
+
+def test_the_newest_sample_gets_the_weight_that_the_older_ones_lost() -> None:
+    assert weight_of_newest(0.0, 4.0) == 0.0
+    assert weight_of_newest(4.0, 4.0) == pytest.approx(1 - 1 / math.e)
+
+
+@pytest.mark.parametrize(("value", "clamped"), [(-1.0, 0.5), (0.5, 0.5), (1.5, 1.5), (2.0, 2.0), (7.0, 2.0)])
+def test_a_clamped_value_is_the_nearest_one_in_the_range(value: float, clamped: float) -> None:
+    assert clamp(value, 0.5, 2.0) == clamped
