--- a/limiter/policy/admission.py
+++ b/limiter/policy/admission.py
@@ -1,113 +1,147 @@
 """Admission: a new request is forwarded or rejected at once, or held for a moment until the counter replies.
 
-It is admitted while the customer's token bucket holds its units, beyond that with the admission probability;
-ceilings, concurrency quotas and the fleet's limit come on top. Types: limiter/model. Times are milliseconds.
+Where a limiter sees enough of a customer, its samples decide at once. Where it does not, gossip decides, or
+the counter is asked; without either, a draw by what was admitted of late. The rules themselves are in
+`admission_rules.py`. Types: limiter/model. Times are milliseconds.
 """
 
-import math
-from dataclasses import dataclass, field
+from __future__ import annotations
+
+from dataclasses import dataclass
 
 from limiter.model.actions import RejectRequest
 from limiter.model.events import ClientRequest, CounterReply, Outcome
-from limiter.model.records import CustomerRecord, RequestRecord
-from limiter.policy.concurrency_limit import ConcurrencyLimit
-from limiter.policy.context import PolicyContext, Timer
+from limiter.policy.admission_rules import AdmissionRules, Verdict
+from limiter.policy.context import PolicyContext
+from limiter.policy.customer import Customer
+from limiter.policy.customer_housekeeping import CustomerHousekeeping
+from limiter.policy.customer_registry import CustomerRegistry
+from limiter.policy.held_requests import HeldRequests
+from limiter.policy.open_request import OpenRequest
 from limiter.policy.retries import AttemptManager
 from limiter.policy.throttle import SAMPLE_INTERVAL_MS, UPDATE_INTERVAL_MS
-from limiter.policy.token_bucket import TokenBuckets
 from limiter.policy.usage_gossip import UsageGossip
+from limiter.policy.usage_reporting import UsageReporter
 from limiter.policy.usage_sampling import UsageSampler
 
-AMPLE_SHARE = 0.7  # of the burst: with fewer tokens in a bucket rebuilt from gossip, the counter is called
-DECISION_WEIGHT = 0.3  # of the newest decision in a customer's admit share; a tenth of it in its plan's
-REPORT_DELAY_MS = 1000.0  # that own use waits for its call while the bucket is well filled
-HOUSEKEEPING_INTERVAL_MS = 50.0  # least time between two rounds, which follow need
+# Smallest fraction of its burst that a bucket rebuilt from gossip must hold for a request to be admitted
+# without a counter call.
+MIN_BURST_SHARE_WITHOUT_CALL = 0.7
+# Least share of requests admitted of late at which a request is reported ahead with the call that it waits
+# for.
+MIN_ADMIT_SHARE_TO_REPORT_AHEAD = 0.5
 
 
 @dataclass
 class AdmissionController:
-    """Decides on each new request, and keeps the customers that wait for a counter call."""
+    """Decides on each new request.
+
+    Args:
+        context: What the parts of the engine share.
+        customers: The customers with recent requests.
+        sampler: Makes calls to the counter and takes in their replies.
+        gossip: What other limiters forwarded.
+        rules: Judge a request.
+        attempts: Sends the attempts of admitted requests.
+        held: Requests that wait for the counter.
+        reporter: Reports the use of customers to the counter.
+        housekeeping: Customers to look at again.
+    """
 
     context: PolicyContext
-    buckets: TokenBuckets
+    customers: CustomerRegistry
     sampler: UsageSampler
-    limit: ConcurrencyLimit
-    attempts: AttemptManager
     gossip: UsageGossip
-    pending: dict[int, CustomerRecord] = field(default_factory=dict)  # with use to report or requests held
-    housekeeping_at: float = math.inf
+    rules: AdmissionRules
+    attempts: AttemptManager
+    held: HeldRequests
+    reporter: UsageReporter
+    housekeeping: CustomerHousekeeping
 
     def handle_request(self, now: float, request: ClientRequest) -> None:
         """Decide on a new request, or hold it for the counter's reply."""
-        settings = self.context.settings
-        has_class = request.request_class < len(settings.request_classes)
-        if request.plan >= len(settings.plans) or not has_class or request.id in self.attempts.requests:
+        if not self._is_valid(request):
             return
-        customer = self.buckets.find_customer(now, request)
-        self.buckets.advance(customer, now)
+        customer = self.customers.find(now, request)
+        self.customers.advance(customer, now)
         self.attempts.earn_retries()
-        request_class = settings.request_classes[request.request_class]
-        useful_until = request.expires_at
-        if request_class.late_weight <= 0:  # it ends with its objective, and leaves its capacity to others
-            useful_until = min(useful_until, now + request_class.latency_objective)
-        record = RequestRecord(request, request_class, customer, useful_until)
-        if not self.buckets.is_spread_thin(customer):
-            self._decide(now, record, has_sample=True)
+        open_request = self._open(now, request, customer)
+        if not self.customers.is_widely_shared(customer):
+            self._decide(now, open_request, has_sample=True)
         elif self.gossip.is_fresh(now):
-            self._admit_by_gossip(now, record)
+            self._decide_by_gossip(now, open_request)
         else:
-            self._admit_by_counter(now, record)
-
-    def _admit_by_gossip(self, now: float, record: RequestRecord) -> None:
-        """Judge by the bucket that gossip tells of; near its end the total of a slot decides."""
-        request, customer = record.request, record.customer
-        customer.probability = self.gossip.update_tokens(now, request, customer).probability
-        if customer.tokens < max(request.units, AMPLE_SHARE * customer.plan.burst):
-            record.probability_drawn = True
-            if customer.tokens < request.units or self.context.random.random() >= customer.probability:
-                customer.tokens = 0.0
-            elif self._hold_for_slot(now, record):
+            self._decide_by_counter(now, open_request)
+
+    def _is_valid(self, request: ClientRequest) -> bool:
+        """Whether the settings know the request's plan and class, and no open request has its id."""
+        settings = self.context.settings
+        has_plan = request.plan < len(settings.plans)
+        has_class = request.request_class < len(settings.request_classes)
+        return has_plan and has_class and request.id not in self.attempts.requests
+
+    def _open(self, now: float, request: ClientRequest, customer: Customer) -> OpenRequest:
+        request_class = self.context.settings.request_classes[request.request_class]
+        useful_until = request.expires_at
+        if request_class.late_weight <= 0:
+            # A late response is worth nothing: the request ends with its objective and leaves its capacity to
+            # others.
+            useful_until = min(useful_until, now + request_class.latency_objective)
+        return OpenRequest(request, request_class, customer, useful_until)
+
+    def _decide_by_gossip(self, now: float, request: OpenRequest) -> None:
+        """Judge by the bucket rebuilt from gossip; near its end the total of a slot decides."""
+        customer = request.customer
+        usage = customer.usage
+        units = request.request.units
+        quota = self.gossip.quota_of(now, request.request)
+        usage.adopt_tokens(quota.tokens)
+        usage.adopt_probability(quota.probability)
+        if usage.tokens < max(units, MIN_BURST_SHARE_WITHOUT_CALL * customer.plan.burst):
+            request.admission.mark_probability_drawn()
+            if usage.tokens < units or self.context.random.random() >= usage.probability:
+                usage.empty()
+            elif self._hold_for_slot(now, request):
                 return
-        self._decide(now, record, has_sample=True)
-
-    def _hold_for_slot(self, now: float, record: RequestRecord) -> bool:
-        """The slot's total says whether the request still fits, and counts all that asked."""
-        record.report_weight = 0.0
-        if record.customer.units_in_call is None:
-            record.customer.unreported_units = record.reserved_units = record.request.units
-        is_held = self._hold(now, record)
-        record.reserved_units = 0.0
+        self._decide(now, request, has_sample=True)
+
+    def _hold_for_slot(self, now: float, request: OpenRequest) -> bool:
+        """Hold a request for the slot's total: it says whether the request fits, and counts all that asked.
+
+        Returns:
+            Whether it is held.
+        """
+        admission = request.admission
+        report = request.customer.report
+        admission.set_report_weight(0.0)
+        if not report.is_call_in_flight:
+            report.replace(request.request.units)
+            admission.reserve(request.request.units)
+        is_held = self.held.hold(now, request)
+        admission.release_reservation()
         if not is_held:
-            record.customer.unreported_units = 0.0
+            report.replace(0.0)
         return is_held
 
-    def _admit_by_counter(self, now: float, record: RequestRecord) -> None:
-        """Judge by the reply to a call; requests left to chance report nothing, so others report for them."""
-        customer = record.customer
-        record.report_weight = 1 / self.sampler.call_probability
-        if customer.units_in_call is None and customer.admit_share >= 0.5:
-            record.reserved_units = record.request.units * record.report_weight
-        customer.unreported_units += record.reserved_units
-        if not self._hold(now, record):
-            customer.unreported_units -= record.reserved_units
-            record.reserved_units = record.report_weight = 0.0
-            self._decide(now, record, has_sample=False)
-
-    def _hold(self, now: float, record: RequestRecord) -> bool:
-        """Hold a request for the call in flight, or make the call; False where neither can be."""
-        request, customer = record.request, record.customer
-        wait = self.context.settings.counter_timeout + 2 * HOUSEKEEPING_INTERVAL_MS
-        if request.expires_at - now <= wait:
-            return False  # its client would be gone first
-        if not customer.held_requests:
-            may_call = customer.units_in_call is None
-            if not (may_call and self.sampler.call(now, request.customer, customer)):
-                return False
-        customer.reserved_units += record.reserved_units
-        self.attempts.requests[request.id] = record
-        customer.held_requests.append(record)
-        self._schedule(now, wait - HOUSEKEEPING_INTERVAL_MS, request.customer, customer)
-        return True
+    def _decide_by_counter(self, now: float, request: OpenRequest) -> None:
+        """Judge by the reply to a call, made with the call probability.
+
+        Where calls are made for some requests only, each reports for the others too.
+        """
+        customer = request.customer
+        admission = request.admission
+        weight = 1 / self.sampler.call_probability
+        admission.set_report_weight(weight)
+        is_likely_admitted = customer.admit_share >= MIN_ADMIT_SHARE_TO_REPORT_AHEAD
+        if is_likely_admitted and not customer.report.is_call_in_flight:
+            admission.reserve(request.request.units * weight)
+        customer.report.add(admission.reserved_units)
+        if self.held.hold(now, request):
+            return
+        customer.report.add(-admission.reserved_units)
+        admission.release_reservation()
+        admission.set_report_weight(0.0)
+        self._decide(now, request, has_sample=False)
 
     def handle_counter_reply(self, now: float, reply: CounterReply) -> None:
         """Take in a reply and decide on the requests that were held for it."""
@@ -115,113 +149,71 @@
         if customer is not None:
             self._release(now, customer, has_sample=reply.outcome is Outcome.OK)
 
-    def _release(self, now: float, customer: CustomerRecord, has_sample: bool) -> None:
-        held = customer.take_held_requests()
-        if held and not has_sample and held[0].probability_drawn and self.gossip.is_fresh(now):
-            self.gossip.update_tokens(now, held[0].request, customer)
-            has_sample = True
-        for record in held:
-            if record.request.id in self.attempts.requests:  # else its client went away
-                self._decide(now, record, has_sample)
-
-    def _decide(self, now: float, record: RequestRecord, has_sample: bool) -> None:
-        """Forward or reject a request; without a sample chance stands for the token bucket."""
-        customer = record.customer
-        random = self.context.random.random
-        fits = record.within_quota = self._fits_quota(now, record, has_sample)
-        draws = has_sample and customer.plan.rate > 0 and not record.probability_drawn
-        passes = fits or (draws and random() < customer.probability)
-        is_thin = self.buckets.is_spread_thin(customer)
-        if has_sample and is_thin:
-            customer.admit_share += DECISION_WEIGHT * (passes - customer.admit_share)
-            history = self.buckets.plan_history[record.request.plan]
-            history.admit_share += DECISION_WEIGHT / 10 * (passes - history.admit_share)
-            if not fits:
-                history.probability += DECISION_WEIGHT * (customer.probability - history.probability)
-        is_allowed = (
-            passes and self._is_below_limits(record) and random() < self.limit.admission_probability()
-        )
-        is_admitted = is_allowed and self.attempts.send(now, record)
-        if is_admitted:
-            self._take_units(now, record, is_thin)
+    def handle_housekeeping(self, now: float) -> None:
+        """Release requests whose reply never came, and report use that has waited for long."""
+        for customer in self.housekeeping.take_due(now):
+            if self.held.is_overdue(now, customer):
+                self._release(now, customer, has_sample=False)
+            self.reporter.report_overdue(now, customer)
+            if self.held.has(customer):
+                self.held.check_again(now, customer)
+            else:
+                self.reporter.check_again(now, customer)
+
+    def _release(self, now: float, customer: Customer, has_sample: bool) -> None:
+        """Decide on the requests that were held for a call of the customer."""
+        requests = self.held.take(customer)
+        if requests and not has_sample and requests[0].admission.probability_drawn:
+            has_sample = self._adopt_gossiped_tokens(now, requests[0])
+        for request in requests:
+            if request.request.id in self.attempts.requests:  # else its client went away
+                self._decide(now, request, has_sample=has_sample)
+
+    def _adopt_gossiped_tokens(self, now: float, request: OpenRequest) -> bool:
+        """Let gossip stand for a slot's total that did not come; whether gossip is fresh."""
+        is_fresh = self.gossip.is_fresh(now)
+        if is_fresh:
+            request.customer.usage.adopt_tokens(self.gossip.quota_of(now, request.request).tokens)
+        return is_fresh
+
+    def _decide(self, now: float, request: OpenRequest, *, has_sample: bool) -> None:
+        """Forward or reject a request, and report its use.
+
+        Args:
+            now: Time of the decision.
+            request: The request.
+            has_sample: Whether a sample of its customer's use stands behind the token bucket.
+        """
+        verdict = self.rules.judge(now, request, has_sample=has_sample)
+        if verdict is Verdict.ADMITTED and not self.attempts.send(now, request):
+            verdict = Verdict.NO_SERVER
+        if verdict is Verdict.ADMITTED:
+            self._record_forwarded(now, request)
         else:
-            self._reject(record)
-        if not is_thin:
-            self._report_usage(now, record, is_admitted)
-
-    def _fits_quota(self, now: float, record: RequestRecord, has_sample: bool) -> bool:
-        request, customer = record.request, record.customer
-        plan = customer.plan
-        if plan.rate > 0 and has_sample:
-            return customer.tokens >= request.units
-        if plan.rate > 0:
-            return self.context.random.random() < min(customer.admit_share, customer.local_tokens)
-        if plan.max_concurrency > 0 and self.gossip.is_fresh(now):
-            usage = self.gossip.usage_of(now, request.customer, request.plan)
-            return self.context.random.random() < usage.probability
-        return True
-
-    def _is_below_limits(self, record: RequestRecord) -> bool:
-        request, customer, settings = record.request, record.customer, self.context.settings
-        plan = customer.plan
-        position = (settings.limiter_index - request.limiter_set_start) % settings.limiter_count
-        owns_no_part = position >= customer.spread
-        if plan.ceiling_rate > 0 and (owns_no_part or customer.ceiling_tokens < request.units):
-            return False
-        remote = customer.remote_in_flight
-        if plan.rate > 0:
-            remote = customer.remote_rate * self.attempts.selector.outliers.mean_latency
-        most = max(1, plan.max_concurrency - int(remote))
-        return plan.max_concurrency <= 0 or customer.in_flight < most
-
-    def _take_units(self, now: float, record: RequestRecord, is_thin: bool) -> None:
-        request, customer = record.request, record.customer
-        self.attempts.requests[request.id] = record
-        customer.spend(request.units, record.within_quota)
-        customer.unreported_units += request.units * record.report_weight - record.reserved_units
-        if is_thin or customer.plan.rate <= 0 < customer.plan.max_concurrency:
+            self._reject(request)
+        self.reporter.report(now, request, is_admitted=verdict is Verdict.ADMITTED)
+
+    def _record_forwarded(self, now: float, open_request: OpenRequest) -> None:
+        """Take the units of a request that was forwarded."""
+        request = open_request.request
+        customer = open_request.customer
+        admission = open_request.admission
+        self.attempts.requests[request.id] = open_request
+        customer.record_forwarded(request.units, within_quota=admission.within_quota)
+        customer.report.add(request.units * admission.report_weight - admission.reserved_units)
+        is_limited_by_concurrency = customer.plan.rate <= 0 < customer.plan.max_concurrency
+        if is_limited_by_concurrency or self.customers.is_widely_shared(customer):
             self.gossip.record_forwarded(now, request.customer, request.plan, request.units)
 
-    def _reject(self, record: RequestRecord) -> None:
-        request, customer = record.request, record.customer
+    def _reject(self, open_request: OpenRequest) -> None:
+        """Reject a request, and tell its client when to come back."""
+        request = open_request.request
+        customer = open_request.customer
+        admission = open_request.admission
         self.attempts.requests.pop(request.id, None)
-        customer.unreported_units -= record.reserved_units
-        refilled_in = max(SAMPLE_INTERVAL_MS, customer.time_until_available(request.units))
-        retry_after = UPDATE_INTERVAL_MS if record.within_quota else refilled_in
+        customer.report.add(-admission.reserved_units)
+        if admission.within_quota:
+            retry_after = UPDATE_INTERVAL_MS
+        else:
+            retry_after = max(SAMPLE_INTERVAL_MS, customer.time_until_available(request.units))
         self.context.actions.append(RejectRequest(request.id, retry_after))
-
-    def _report_usage(self, now: float, record: RequestRecord, is_admitted: bool) -> None:
-        """Call the counter now where the quota is nearly used, else later, for several requests at once."""
-        key, customer = record.request.customer, record.customer
-        burst = customer.plan.burst
-        owes_much = customer.unreported_units * 4 * customer.spread > burst
-        is_near_quota = customer.tokens < burst / 2 or customer.sampled_at < 0 or owes_much
-        if not record.within_quota or (is_near_quota and is_admitted):
-            self.sampler.call(now, key, customer)
-        if customer.unreported_units:
-            self._schedule(now, REPORT_DELAY_MS, key, customer)
-
-    def _schedule(self, now: float, delay: float, key: int, customer: CustomerRecord) -> None:
-        """Look at the customer again in housekeeping, after the delay at the latest."""
-        self.pending[key] = customer
-        if now + delay < self.housekeeping_at:
-            self.housekeeping_at = now + delay
-            self.context.set_timer(delay, Timer.HOUSEKEEPING)
-
-    def handle_housekeeping(self, now: float) -> None:
-        """Release requests whose reply never came, and report use that has waited for long."""
-        if now < self.housekeeping_at - 1:  # of a timer that a sooner one has replaced
-            return
-        pending, self.pending = self.pending, {}
-        self.housekeeping_at = math.inf
-        timeout = self.context.settings.counter_timeout
-        for key, customer in pending.items():
-            if now - customer.call_started_at > timeout + HOUSEKEEPING_INTERVAL_MS / 2:
-                self._release(now, customer, has_sample=False)
-            reports = not self.buckets.is_spread_thin(customer)
-            if reports and customer.unreported_units and now - customer.sampled_at > REPORT_DELAY_MS:
-                self.sampler.call(now, key, customer)
-            if customer.held_requests:
-                self._schedule(now, timeout + HOUSEKEEPING_INTERVAL_MS, key, customer)
-            elif reports and customer.unreported_units:
-                self._schedule(now, REPORT_DELAY_MS / 4, key, customer)
--- a/limiter/policy/concurrency_limit.py
+++ b/limiter/policy/concurrency_limit.py
@@ -67,7 +67,7 @@
     def mean_in_flight(self) -> float:
         """Attempts in flight from here, or from the mean limiter where the others gossip theirs."""
         if self.gossip.is_enabled and self.selector.slow_start.unseen_load_share:
-            return self.gossip.mean_in_flight(self.working)
+            return self.gossip.peer_load.mean_in_flight(self.working)
         return self.working
 
     def admission_probability(self) -> float:
@@ -107,12 +107,14 @@
         mean, gossip = self.latency, self.gossip
         unseen_share = self.selector.slow_start.unseen_load_share
         if gossip.is_enabled and unseen_share:
-            gossip.decay(now)
-            weight = 1 - math.exp(-completed * (1 + gossip.peer_weight) / COMPLETED_SCALE)
-            newest, mean = gossip.mean_latency(newest), gossip.mean_latency(mean)
+            peer_load = gossip.peer_load
+            peer_load.decay(now)
+            weight = 1 - math.exp(-completed * (1 + peer_load.weight) / COMPLETED_SCALE)
+            newest = peer_load.mean_latency(newest)
+            mean = peer_load.mean_latency(mean)
         if self.completed:
             self.idle_latency = min(mean, self.idle_latency * IDLE_LATENCY_GROWTH or mean)
-        gossip.latency = mean
+        gossip.set_mean_latency(mean)
         objective = self.context.tightest_objective
         wait_share = FULL_LOAD_WAIT_SHARE + unseen_share * (UNSEEN_LOAD_WAIT_SHARE - FULL_LOAD_WAIT_SHARE)
         full_load = self.idle_latency + wait_share * max(0.0, objective - self.idle_latency)
--- a/limiter/policy/context.py
+++ b/limiter/policy/context.py
@@ -11,6 +11,9 @@
 from limiter.model.actions import Action, SetTimer
 from limiter.model.settings import Settings
 
+# Start time of an engine before its first event: earlier than every time of the clock.
+NOT_STARTED = -1.0
+
 
 class Timer(IntEnum):
     """Tokens of the timers that the policy sets."""
@@ -22,18 +25,46 @@
 
 
 class PolicyContext:
-    """Shared by the parts of one policy engine; times are milliseconds."""
+    """Shared by the parts of one policy engine.
+
+    Attributes:
+        settings: What the limiter decides by.
+        random: The source of every random draw.
+        actions: What the event in hand leads to, in order.
+        started_at: Time of the first event; below 0 before it.
+        tightest_objective: The shortest latency objective of a request class.
+    """
 
     __slots__ = ("actions", "random", "settings", "started_at", "tightest_objective")
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Begin without an event; the seed decides every draw."""
+        """Start without an event.
+
+        Args:
+            settings: What the limiter decides by.
+            seed: Decides every random draw.
+        """
         self.settings = settings
         self.random = Random(seed)
         self.actions: list[Action] = []
-        self.started_at = -1.0  # time of the first event; below 0: none yet
+        self.started_at = NOT_STARTED
         self.tightest_objective = min(each.latency_objective for each in settings.request_classes)
 
+    @property
+    def is_started(self) -> bool:
+        """Whether there was an event."""
+        return self.started_at >= 0
+
+    def start(self, now: float) -> None:
+        """Note the time of the first event."""
+        self.started_at = now
+
     def set_timer(self, delay: float, timer: Timer) -> None:
         """Ask for TimerFired with this token after the delay."""
         self.actions.append(SetTimer(delay, timer))
+
+    def take_actions(self) -> list[Action]:
+        """Return the actions of the event in hand, and begin with none for the next."""
+        actions = self.actions
+        self.actions = []
+        return actions
--- /dev/null
+++ b/limiter/policy/customer_registry.py
@@ -0,0 +1,146 @@
+"""The customers of one limiter: their records, found or made anew, and brought up to date.
+
+A customer's bucket is rebuilt from samples of its use through all limiters. Where samples are missing, the
+quota is split evenly over the customer's limiters instead. Types: limiter/model. Times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from limiter.model.events import AttemptEnded, ClientRequest
+from limiter.policy import throttle
+from limiter.policy.context import PolicyContext
+from limiter.policy.customer import Customer, CustomerTable
+from limiter.policy.gossiped_usage import FORGET_AFTER_MS
+from limiter.policy.local_share import LocalShare
+from limiter.policy.sampled_usage import SampledUsage, even_remote_rate
+from limiter.policy.smoothing import ewma_step
+
+# A sample that has been wanted for longer than this counts as missing.
+OVERDUE_MS = 500.0
+# Calls without a total, in a row, that are put down to chance; after more of them samples count as missing.
+MAX_FAILED_CALLS = 1
+
+
+@dataclass(slots=True)
+class PlanHistory:
+    """How a plan's customers were decided on of late: a new customer of the plan begins there.
+
+    Attributes:
+        admit_share: Share admitted of the requests that a sample decided; a moving average.
+        probability: Admission probability of customers without tokens; a moving average.
+    """
+
+    admit_share: float = 1.0
+    probability: float = 1.0
+
+    def record_decision(self, weight: float, *, is_admitted: bool) -> None:
+        """Add a request that a sample decided."""
+        self.admit_share = ewma_step(self.admit_share, float(is_admitted), weight)
+
+    def record_probability(self, weight: float, probability: float) -> None:
+        """Add the admission probability of a customer without tokens."""
+        self.probability = ewma_step(self.probability, probability, weight)
+
+
+class CustomerRegistry:
+    """The customers with recent requests, and how their plans' customers fared."""
+
+    def __init__(self, context: PolicyContext) -> None:
+        """Start without customers."""
+        self._context = context
+        settings = context.settings
+        self.uses_counter = settings.has_counter and not settings.meter_period
+        self.table = CustomerTable(FORGET_AFTER_MS)
+        self.plan_history = [PlanHistory() for _ in settings.plans]
+
+    def find(self, now: float, request: ClientRequest) -> Customer:
+        """Return the customer of a request, made anew or brought in line with the request's plan and set."""
+        settings = self._context.settings
+        plan = settings.plans[request.plan]
+        limiter_set_size = min(max(1.0, request.limiter_set_size), float(settings.limiter_count))
+        customer = self.table.take(request.customer)
+        if customer is None:
+            customer = self._new_customer(now, request, limiter_set_size)
+        elif customer.limiter_set_size != limiter_set_size or customer.plan is not plan:
+            customer.change_plan(plan, limiter_set_size)
+        self.table.put(customer, now)
+        return customer
+
+    def _new_customer(self, now: float, request: ClientRequest, limiter_set_size: float) -> Customer:
+        plan = self._context.settings.plans[request.plan]
+        history = self.plan_history[request.plan]
+        # This start may be a restart, which refills nothing: the ceiling's part counts from this start on.
+        seconds_since_start = (now - self._context.started_at) / 1000
+        refilled = min(plan.ceiling_burst, seconds_since_start * plan.ceiling_rate)
+        return Customer(
+            key=request.customer,
+            plan=plan,
+            limiter_set_size=limiter_set_size,
+            usage=SampledUsage(
+                tokens=plan.burst / limiter_set_size,
+                refilled_at=now,
+                probability=history.probability,
+                probability_updated_at=now,
+                remote_rate=even_remote_rate(plan, limiter_set_size),
+            ),
+            local_share=LocalShare(ceiling_tokens=refilled / limiter_set_size),
+            admit_share=history.admit_share,
+        )
+
+    def is_widely_shared(self, customer: Customer) -> bool:
+        """Whether a limiter's even part of the burst is under one request: it sees too few to go by."""
+        plan = customer.plan
+        return self.uses_counter and 0 < plan.burst < customer.limiter_set_size and plan.rate > 0
+
+    def lacks_samples(self, customer: Customer, now: float) -> bool:
+        """Whether a sample is missing or late, whatever the cause, so that the even split stands for it."""
+        if not self.uses_counter:
+            return not self._context.settings.meter_period
+        report = customer.report
+        wanted_since = report.sample_wanted_since
+        is_overdue = wanted_since is not None and now - wanted_since > OVERDUE_MS
+        if not is_overdue and report.failed_calls <= MAX_FAILED_CALLS:
+            return False
+        return not self.is_widely_shared(customer)
+
+    def advance(self, customer: Customer, now: float) -> None:
+        """Bring the customer's buckets to `now`."""
+        plan = customer.plan
+        usage = customer.usage
+        elapsed = max(0.0, now - usage.refilled_at)
+        if self.lacks_samples(customer, now):
+            usage.advance_by_even_split(elapsed, plan, customer.limiter_set_size)
+        else:
+            usage.advance(elapsed, plan)
+        customer.local_share.refill(elapsed, plan, customer.limiter_set_size)
+
+    def settle(
+        self, now: float, customer: Customer, ended: AttemptEnded, billable_units: float | None
+    ) -> None:
+        """Take in what an attempt that has ended tells of its customer's use.
+
+        Args:
+            now: Time of the end.
+            customer: The customer of the attempt, brought to `now`.
+            ended: The end of the attempt.
+            billable_units: Units that its request took within the quota; None if it took none.
+        """
+        if ended.billed_units is not None and billable_units is not None:
+            customer.record_billed(ended.billed_units - billable_units)
+        if ended.metered_utilization is None:
+            return
+        if customer.plan.rate <= 0:
+            customer.record_metered_concurrency(ended.metered_utilization * customer.plan.max_concurrency)
+        else:
+            self._record_metered_rate(now, customer, ended.metered_utilization)
+
+    def _record_metered_rate(self, now: float, customer: Customer, utilization: float) -> None:
+        usage = customer.usage
+        interval = max(throttle.SAMPLE_INTERVAL_MS, self._context.settings.meter_period)
+        if now - usage.sampled_at < interval:
+            return
+        elapsed = now - max(usage.sampled_at, usage.probability_updated_at)
+        used = utilization * customer.plan.rate / 1000 * elapsed
+        usage.record_sample(now, customer.plan, max(0.0, used - usage.local_units))
--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -4,21 +4,26 @@
 Tarasiuk, end to end: see docs/design.md.
 """
 
-from collections.abc import Callable
-from typing import Any
+from __future__ import annotations
+
+from typing import assert_never
 
 from limiter.model import events
 from limiter.model.actions import Action
 from limiter.model.settings import Settings, validate_settings
 from limiter.policy.admission import AdmissionController
+from limiter.policy.admission_rules import AdmissionRules
 from limiter.policy.concurrency_limit import ConcurrencyLimit, unseen_load_share
 from limiter.policy.context import PolicyContext, Timer
+from limiter.policy.customer_housekeeping import CustomerHousekeeping
+from limiter.policy.customer_registry import CustomerRegistry
 from limiter.policy.discovery_backoff import DiscoveryBackoff
+from limiter.policy.held_requests import HeldRequests
 from limiter.policy.outlier_detection import OutlierDetector
 from limiter.policy.retries import AttemptManager
 from limiter.policy.server_selection import ServerSelector, SlowStart
-from limiter.policy.token_bucket import TokenBuckets
 from limiter.policy.usage_gossip import UsageGossip
+from limiter.policy.usage_reporting import UsageReporter
 from limiter.policy.usage_sampling import UsageSampler
 
 
@@ -26,7 +31,15 @@
     """Every decision of one limiter, without I/O: the clock and the seed are handed in."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Raise SettingsError where the settings cannot be used."""
+        """Build the parts of the engine.
+
+        Args:
+            settings: What the limiter decides by.
+            seed: Decides every random draw.
+
+        Raises:
+            SettingsError: The settings cannot be used.
+        """
         validate_settings(settings)
         context = self.context = PolicyContext(settings, seed)
         self.gossip = UsageGossip(context)
@@ -34,37 +47,69 @@
         self.slow_start = SlowStart(context, unseen_load_share(settings))
         self.selector = ServerSelector(context, self.outliers, self.slow_start)
         self.limit = ConcurrencyLimit(context, self.selector, self.gossip)
-        self.buckets = TokenBuckets(context)
-        self.sampler = UsageSampler(context, self.buckets, self.gossip)
-        self.attempts = AttemptManager(context, self.buckets, self.selector, self.limit, self.gossip)
-        self.admission = AdmissionController(
-            context, self.buckets, self.sampler, self.limit, self.attempts, self.gossip
-        )
+        self.customers = CustomerRegistry(context)
+        self.attempts = AttemptManager(context, self.customers, self.selector, self.limit, self.gossip)
+        self.sampler = UsageSampler(context, self.customers, self.gossip)
+        self.admission = self._make_admission(context)
         self.discovery = DiscoveryBackoff(context, self.selector.table, self.gossip.is_enabled)
-        self._handlers: dict[type, Callable[[float, Any], None]] = {
-            events.ClientRequest: self.admission.handle_request,
-            events.AttemptEnded: self.attempts.handle_end,
-            events.CounterReply: self.admission.handle_counter_reply,
-            events.TimerFired: self._handle_timer,
-            events.GossipReceived: self._handle_gossip,
-            events.EndpointsChanged: self._handle_endpoints,
-            events.ClientDisconnected: self.attempts.handle_disconnect,
-            events.StreamStarted: self.attempts.handle_stream_start,
-            events.DiscoveryPollFailed: self.discovery.handle_failure,
-        }
+
+    def _make_admission(self, context: PolicyContext) -> AdmissionController:
+        housekeeping = CustomerHousekeeping(context)
+        return AdmissionController(
+            context=context,
+            customers=self.customers,
+            sampler=self.sampler,
+            gossip=self.gossip,
+            rules=AdmissionRules(context, self.customers, self.gossip, self.outliers, self.limit),
+            attempts=self.attempts,
+            held=HeldRequests(context, self.sampler, self.attempts, housekeeping),
+            reporter=UsageReporter(self.customers, self.sampler, housekeeping),
+            housekeeping=housekeeping,
+        )
 
     def handle(self, now: float, event: events.Event) -> list[Action]:
-        """Decide what an event leads to."""
-        if self.context.started_at < 0:
-            self.context.started_at = now
+        """Decide what an event leads to.
+
+        Args:
+            now: Time of the event, by a clock that never goes back.
+            event: What happened.
+
+        Returns:
+            The actions to carry out, in this order.
+        """
+        if not self.context.is_started:
+            self.context.start(now)
             self.limit.start(now)
             self.discovery.start()
         self.limit.advance(now)
-        handler = self._handlers.get(type(event))
-        if handler is not None:
-            handler(now, event)
-        actions, self.context.actions = self.context.actions, []
-        return actions
+        self._dispatch(now, event)
+        return self.context.take_actions()
+
+    def _dispatch(self, now: float, event: events.Event) -> None:  # noqa: C901 - one case for each event
+        """Hand an event to the part that it concerns, the most frequent kinds first."""
+        match event:
+            case events.ClientRequest():
+                self.admission.handle_request(now, event)
+            case events.AttemptEnded():
+                self.attempts.handle_end(now, event)
+            case events.TimerFired():
+                self._handle_timer(now, event)
+            case events.CounterReply():
+                self.admission.handle_counter_reply(now, event)
+            case events.GossipReceived():
+                self._handle_gossip(now, event)
+            case events.EndpointsChanged():
+                self._handle_endpoints(now, event)
+            case events.ClientDisconnected():
+                self.attempts.handle_disconnect(now, event)
+            case events.StreamStarted():
+                self.attempts.handle_stream_start(now, event)
+            case events.DiscoveryPollFailed():
+                self.discovery.handle_failure(now, event)
+            case events.HealthCheckEnded():
+                pass  # no health check is ever sent
+            case _:
+                assert_never(event)
 
     def _handle_timer(self, now: float, fired: events.TimerFired) -> None:
         match fired.token:
@@ -74,7 +119,7 @@
                 self.discovery.handle_poll_timer()
             case Timer.USAGE_GOSSIP if self.gossip.is_enabled:
                 self.gossip.send(self.limit.working, self.limit.latency)
-                if self.limit.in_flight or self.gossip.unsent:
+                if self.limit.in_flight or self.gossip.has_unsent_units:
                     self.gossip.schedule()
             case Timer.DISCOVERY_GOSSIP:
                 self.discovery.handle_gossip_timer()
--- /dev/null
+++ b/limiter/policy/held_requests.py
@@ -0,0 +1,80 @@
+"""Requests that are held until the counter has replied. Types: limiter/model. Times are milliseconds."""
+
+from __future__ import annotations
+
+from limiter.policy.context import PolicyContext
+from limiter.policy.customer import Customer
+from limiter.policy.customer_housekeeping import CustomerHousekeeping
+from limiter.policy.open_request import OpenRequest
+from limiter.policy.retries import AttemptManager
+from limiter.policy.usage_sampling import UsageSampler
+
+# Time by which a round of housekeeping may come late after the counter's time-out.
+HOUSEKEEPING_MARGIN_MS = 50.0
+
+
+class HeldRequests:
+    """The requests that wait for a call in flight, by customer.
+
+    As long as requests of a customer are held, a call of that customer is in flight.
+    """
+
+    def __init__(
+        self,
+        context: PolicyContext,
+        sampler: UsageSampler,
+        attempts: AttemptManager,
+        housekeeping: CustomerHousekeeping,
+    ) -> None:
+        """Start without held requests.
+
+        Args:
+            context: What the parts of the engine share.
+            sampler: Makes the calls to the counter.
+            attempts: The open requests, held ones among them.
+            housekeeping: Releases requests whose reply never comes.
+        """
+        self._sampler = sampler
+        self._attempts = attempts
+        self._housekeeping = housekeeping
+        self._held: dict[int, list[OpenRequest]] = {}  # by customer
+        self._counter_timeout = context.settings.counter_timeout
+
+    def hold(self, now: float, request: OpenRequest) -> bool:
+        """Hold a request for the call in flight that others wait for, or make a call for it.
+
+        Returns:
+            Whether it is held; False where no call can be made, or its client would give up first.
+        """
+        customer = request.customer
+        release_after = self._counter_timeout + HOUSEKEEPING_MARGIN_MS
+        if request.request.expires_at - now <= release_after + HOUSEKEEPING_MARGIN_MS:
+            return False
+        if customer.key not in self._held and not self._call(now, customer):
+            return False
+        customer.report.reserve(request.admission.reserved_units)
+        self._attempts.requests[request.request.id] = request
+        self._held.setdefault(customer.key, []).append(request)
+        self._housekeeping.schedule(now, release_after, customer)
+        return True
+
+    def _call(self, now: float, customer: Customer) -> bool:
+        return not customer.report.is_call_in_flight and self._sampler.call(now, customer)
+
+    def has(self, customer: Customer) -> bool:
+        """Whether requests of the customer are held."""
+        return customer.key in self._held
+
+    def is_overdue(self, now: float, customer: Customer) -> bool:
+        """Whether the customer's last call should have ended by now."""
+        waited = now - customer.report.call_started_at
+        return waited > self._counter_timeout + HOUSEKEEPING_MARGIN_MS / 2
+
+    def check_again(self, now: float, customer: Customer) -> None:
+        """Look at a customer with held requests again once its call should have ended."""
+        self._housekeeping.schedule(now, self._counter_timeout + HOUSEKEEPING_MARGIN_MS, customer)
+
+    def take(self, customer: Customer) -> list[OpenRequest]:
+        """Take out the customer's requests, in the order in which they came; clients may have left."""
+        customer.report.release_reservation()
+        return self._held.pop(customer.key, [])
--- a/limiter/policy/retries.py
+++ b/limiter/policy/retries.py
@@ -7,13 +7,13 @@
 
 from limiter.model.actions import FailRequest, RejectRequest, SendAttempt
 from limiter.model.events import NEVER_RAN, AttemptEnded, ClientDisconnected, Outcome, StreamStarted
-from limiter.model.records import RequestRecord
 from limiter.model.settings import Idempotency
 from limiter.policy.concurrency_limit import ConcurrencyLimit
 from limiter.policy.context import PolicyContext
+from limiter.policy.customer_registry import CustomerRegistry
+from limiter.policy.open_request import OpenRequest
 from limiter.policy.server_selection import ServerSelector
-from limiter.policy.throttle import SAMPLE_INTERVAL_MS, UPDATE_INTERVAL_MS
-from limiter.policy.token_bucket import TokenBuckets
+from limiter.policy.throttle import UPDATE_INTERVAL_MS
 from limiter.policy.usage_gossip import UsageGossip
 
 RETRIES_PER_REQUEST = 0.2  # earned: against retry storms; hurts where many servers fail at once
@@ -27,18 +27,18 @@
     """Owns the open requests: sends their attempts and ends them."""
 
     context: PolicyContext
-    buckets: TokenBuckets
+    customers: CustomerRegistry
     selector: ServerSelector
     limit: ConcurrencyLimit
     gossip: UsageGossip
-    requests: dict[int, RequestRecord] = field(default_factory=dict)
+    requests: dict[int, OpenRequest] = field(default_factory=dict)
     retry_budget: float = 1.0
 
     def earn_retries(self) -> None:
         """Add one request's part to the retry budget."""
         self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRIES_PER_REQUEST)
 
-    def send(self, now: float, request: RequestRecord) -> bool:
+    def send(self, now: float, request: OpenRequest) -> bool:
         """Send the next attempt of a request, if a server may take it; whether it was sent."""
         time_left = request.useful_until - now
         if time_left <= 0 or request.attempts >= self.context.settings.max_attempts:
@@ -55,7 +55,7 @@
         self.context.actions.append(SendAttempt(request.request.id, server.endpoint.id, timeout))
         return True
 
-    def _patience(self, request: RequestRecord, time_left: float) -> float:
+    def _patience(self, request: OpenRequest, time_left: float) -> float:
         """Time after which an attempt is given up: early enough for a retry, where one may be made."""
         request_class = request.request_class
         repeatable = (
@@ -78,8 +78,9 @@
         if request is None:
             return
         request.end_attempt()
-        self.buckets.advance(request.customer, now)
-        self._settle_usage(now, request, ended)
+        self.customers.advance(request.customer, now)
+        billable_units = request.request.units if request.admission.within_quota else None
+        self.customers.settle(now, request.customer, ended, billable_units)
         if ended.request_finished:
             del self.requests[ended.request_id]
             return
@@ -88,21 +89,7 @@
         if not request.in_flight and not request.is_streaming:
             self._retry_or_end(now, request)
 
-    def _settle_usage(self, now: float, request: RequestRecord, ended: AttemptEnded) -> None:
-        customer, plan = request.customer, request.customer.plan
-        if ended.billed_units is not None and request.within_quota:
-            customer.spend_more(ended.billed_units - request.request.units)
-        metered = ended.metered_utilization
-        if metered is not None and plan.rate <= 0:
-            customer.remote_in_flight = max(0.0, metered * plan.max_concurrency - customer.in_flight)
-        elif metered is not None:
-            interval = max(SAMPLE_INTERVAL_MS, self.context.settings.meter_period)
-            if now - customer.sampled_at >= interval:
-                elapsed = now - max(customer.sampled_at, customer.updated_at)
-                used = metered * plan.rate / 1000 * elapsed
-                self.buckets.record_sample(now, customer, max(0.0, used - customer.local_units))
-
-    def _retry_or_end(self, now: float, request: RequestRecord) -> None:
+    def _retry_or_end(self, now: float, request: OpenRequest) -> None:
         request_class, request_id = request.request_class, request.request.id
         idempotency = request_class.idempotency
         is_harmless = request.first_endpoint is None or idempotency is Idempotency.IDEMPOTENT
@@ -119,7 +106,7 @@
     def handle_disconnect(self, _now: float, gone: ClientDisconnected) -> None:
         """The client is gone: attempts in flight end by themselves, and nothing more is sent."""
         if (request := self.requests.pop(gone.request_id, None)) is not None:
-            request.customer.in_flight -= request.in_flight
+            request.customer.end_attempts(request.in_flight)
 
     def handle_stream_start(self, _now: float, started: StreamStarted) -> None:
         """Part of an answer is with the client: the request may not be sent again."""
--- a/limiter/policy/server_selection.py
+++ b/limiter/policy/server_selection.py
@@ -8,10 +8,11 @@
 from heapq import nsmallest
 
 from limiter.model.events import EndpointsChanged
-from limiter.model.records import RequestRecord, ServerRecord
+from limiter.model.records import ServerRecord
 from limiter.model.settings import DedupScope, Idempotency
 from limiter.model.tables import ServerTable
 from limiter.policy.context import PolicyContext
+from limiter.policy.open_request import OpenRequest
 from limiter.policy.outlier_detection import OutlierDetector
 
 MAX_CANDIDATES = 100  # that one choice looks at: what is known of few servers beats an even draw
@@ -86,7 +87,7 @@
         for server in self.table.update(change):
             self.slow_start.register(server)
 
-    def choose(self, now: float, request: RequestRecord) -> ServerRecord | None:
+    def choose(self, now: float, request: OpenRequest) -> ServerRecord | None:
         """The server for the next attempt; None where none may take it."""
         candidates = [server for server in self._candidates(request) if now >= server.paused_until]
         untried = [server for server in candidates if server.endpoint.id not in request.tried]
@@ -96,7 +97,7 @@
         cheapest = nsmallest(count, sound, lambda server: self.cost(now, server))
         return self.slow_start.choose(now, cheapest)
 
-    def _candidates(self, request: RequestRecord) -> list[ServerRecord]:
+    def _candidates(self, request: OpenRequest) -> list[ServerRecord]:
         """All ready servers of a small fleet, some drawn of a large one; a retry may be bound to a scope."""
         candidates = self.table.ready
         if len(candidates) > MAX_CANDIDATES:
--- /dev/null
+++ b/limiter/policy/usage_reporting.py
@@ -0,0 +1,73 @@
+"""When a customer's own use is reported to the counter. Types: limiter/model. Times are milliseconds."""
+
+from __future__ import annotations
+
+from limiter.policy.customer import Customer
+from limiter.policy.customer_housekeeping import CustomerHousekeeping
+from limiter.policy.customer_registry import CustomerRegistry
+from limiter.policy.open_request import OpenRequest
+from limiter.policy.usage_sampling import UsageSampler
+
+# Time that use waits for its call while the bucket is well filled, so that one call reports several requests.
+REPORT_DELAY_MS = 1000.0
+# Time after which a customer whose use could not be reported is looked at again.
+RETRY_DELAY_MS = REPORT_DELAY_MS / 4
+# Share of the burst below which the tokens count as nearly used up.
+NEAR_QUOTA_SHARE = 1 / 2
+# A limiter reports at once when it owes more than this share of its even part of the burst.
+MAX_UNREPORTED_SHARE = 1 / 4
+
+
+class UsageReporter:
+    """Reports the use of customers that a limiter sees enough of.
+
+    Use of widely shared customers is reported with the requests that are held for the reply, or by gossip.
+    """
+
+    def __init__(
+        self, customers: CustomerRegistry, sampler: UsageSampler, housekeeping: CustomerHousekeeping
+    ) -> None:
+        """Start without use to report.
+
+        Args:
+            customers: The customers whose use is reported.
+            sampler: Makes the calls to the counter.
+            housekeeping: Looks at customers again whose use waits for its call.
+        """
+        self._customers = customers
+        self._sampler = sampler
+        self._housekeeping = housekeeping
+
+    def report(self, now: float, request: OpenRequest, *, is_admitted: bool) -> None:
+        """Report the use after a decision: at once where the quota is nearly used, else some time later."""
+        customer = request.customer
+        if self._customers.is_widely_shared(customer):
+            return
+        is_urgent = is_admitted and self._is_near_quota(customer)
+        if is_urgent or not request.admission.within_quota:
+            self._sampler.call(now, customer)
+        if customer.report.unreported_units:
+            self._housekeeping.schedule(now, REPORT_DELAY_MS, customer)
+
+    @staticmethod
+    def _is_near_quota(customer: Customer) -> bool:
+        """Whether the quota is nearly used, or too little is known to tell."""
+        burst = customer.plan.burst
+        owed = customer.report.unreported_units / MAX_UNREPORTED_SHARE * customer.limiter_set_size
+        is_nearly_used = customer.usage.tokens < burst * NEAR_QUOTA_SHARE
+        return is_nearly_used or not customer.usage.has_sample or owed > burst
+
+    def report_overdue(self, now: float, customer: Customer) -> None:
+        """Report use that has waited for long."""
+        if self.has_use_to_report(customer) and now - customer.usage.sampled_at > REPORT_DELAY_MS:
+            self._sampler.call(now, customer)
+
+    def check_again(self, now: float, customer: Customer) -> None:
+        """Look at the customer again if use is left to report."""
+        if self.has_use_to_report(customer):
+            self._housekeeping.schedule(now, RETRY_DELAY_MS, customer)
+
+    def has_use_to_report(self, customer: Customer) -> bool:
+        """Whether use of the customer waits for its call."""
+        has_use = bool(customer.report.unreported_units)
+        return has_use and not self._customers.is_widely_shared(customer)
--- a/limiter/policy/usage_sampling.py
+++ b/limiter/policy/usage_sampling.py
@@ -1,154 +1,243 @@
-"""Sampling of use with the shared counter: when it is called, under which name, and what a reply means.
+"""Sampling of use with the shared counter: when it is called, under which key, and what a reply means.
 
-A call adds this limiter's own use to the name of the customer's epoch and reads the total of all limiters.
+A call adds this limiter's own use to the key of the customer's epoch and reads the total of all limiters.
 Types: limiter/model. Times are milliseconds.
 """
 
-from dataclasses import dataclass
+from __future__ import annotations
+
+import math
 
 from limiter.model.actions import IncrementCounter
 from limiter.model.events import CounterReply, Outcome
-from limiter.model.records import CustomerRecord, counter_key
+from limiter.model.settings import QuotaPlan
 from limiter.policy import throttle
 from limiter.policy.context import PolicyContext
-from limiter.policy.token_bucket import TokenBuckets
+from limiter.policy.customer import Customer
+from limiter.policy.customer_registry import CustomerRegistry
+from limiter.policy.smoothing import clamp
 from limiter.policy.usage_gossip import UsageGossip
+from limiter.policy.usage_report import CounterEpoch, counter_key
 
-EPOCH_MS = 30000.0  # of a counter name, which lives two epochs: the longest life that the counter grants
-THIN_EPOCH_BURSTS = 1.5  # burst times in an epoch of customers that are spread thin: what its quiet start
-# leaves over is admitted on top of the burst, so that a long one admits floods
-FULL_LOAD_SHARE = 0.6  # of the counter's time-out beyond its best latency that counts as its full load
+# Longest epoch. A key lives for two epochs, and the counter grants a life of 60 s at most.
+MAX_EPOCH_MS = 30000.0
+# Times of a burst that an epoch of a widely shared customer lasts. What a quiet start of the epoch leaves
+# over is admitted on top of the burst, so that a long epoch admits floods.
+WIDELY_SHARED_EPOCH_BURSTS = 1.5
+# Share of a burst that may be used in one slot, so that the order of requests in it does not matter.
+SLOT_BURST_SHARE = 1 / 2
+# Share of the counter's time-out beyond its best latency that counts as its full load.
+FULL_LOAD_SHARE = 0.6
+# Least probability of a call that is wanted, so that an overloaded counter is seen to recover.
 MIN_CALL_PROBABILITY = 0.05
-MAX_CALL_STEP = 2.0  # most that the call probability moves with one reply
-COUNT_TOLERANCE = 1e-3  # units by which totals may be off: they are exact to seven digits only
+# Largest factor by which the call probability moves with one reply.
+MAX_CALL_STEP = 2.0
+# Factor by which the best latency grows with each reply: it is forgotten slowly.
+BEST_LATENCY_GROWTH = 1.01
+# Units by which totals may be off: the counter is exact to seven digits only.
+COUNT_TOLERANCE = 1e-3
+# The next call of a customer comes after the sample interval, more or less by this share of it.
+INTERVAL_JITTER = 0.2
+# Power of the share of requests admitted that estimates how full the bucket of a widely shared customer was
+# at the start of an epoch.
+START_FILL_EXPONENT = 4
+
+
+def slot_units(plan: QuotaPlan) -> float:
+    """Return the units that may be used in one slot, one at least."""
+    return max(1.0, math.floor(plan.burst * SLOT_BURST_SHARE))
 
 
-@dataclass
 class UsageSampler:
-    """Calls to the counter, thinned out while it is overloaded."""
-
-    context: PolicyContext
-    buckets: TokenBuckets
-    gossip: UsageGossip
-    call_probability: float = 1.0  # of a call that is wanted
-    best_latency: float = 0.0  # of a reply, forgotten slowly
-
-    def call(self, now: float, key: int, customer: CustomerRecord) -> bool:
-        """Add the use that is unreported, or only read the total; whether a call was made."""
-        # A customer that was never sampled counts from its first request on.
-        sampled_at = customer.sampled_at if customer.sampled_at >= 0 else customer.updated_at
-        if self.buckets.lacks_samples(customer, now) and now - sampled_at >= throttle.SAMPLE_INTERVAL_MS:
-            customer.sampled_at = sampled_at
-            self.buckets.record_sample(now, customer, customer.expected_remote_units)
-        if customer.sample_wanted_since < 0:
-            customer.sample_wanted_since = now
-        is_thin = self.buckets.is_spread_thin(customer)
-        is_early = now < customer.next_call_at and not is_thin
-        if not self.buckets.uses_counter or customer.units_in_call is not None or is_early:
+    """Calls to the counter, made with a lower probability while it is overloaded."""
+
+    def __init__(self, context: PolicyContext, customers: CustomerRegistry, gossip: UsageGossip) -> None:
+        """Start without a call in flight.
+
+        Args:
+            context: What the parts of the engine share.
+            customers: The customers that are sampled.
+            gossip: Tells whether a slot or a whole epoch is counted for widely shared customers.
+        """
+        self._context = context
+        self._customers = customers
+        self._gossip = gossip
+        self._in_flight: dict[int, Customer] = {}  # customers whose call is in flight, by the call's key
+        self._epochs: dict[float, CounterEpoch] = {}  # the newest epoch of each length, shared by customers
+        self._best_latency: float | None = None  # of a reply; None before the first one
+        self.call_probability = 1.0  # of a call that is wanted
+
+    @property
+    def calls_in_flight(self) -> int:
+        """Calls that have not ended yet."""
+        return len(self._in_flight)
+
+    def call(self, now: float, customer: Customer) -> bool:
+        """Report the customer's use, or only read the total.
+
+        Returns:
+            Whether a call was made.
+        """
+        self._sample_by_even_split(now, customer)
+        report = customer.report
+        report.want_sample(now)
+        is_widely_shared = self._customers.is_widely_shared(customer)
+        is_early = now < report.next_call_at and not is_widely_shared
+        if not self._customers.uses_counter or report.is_call_in_flight or is_early:
             return False
-        random = self.context.random
-        customer.next_call_at = now + throttle.SAMPLE_INTERVAL_MS * random.uniform(0.8, 1.2)
+        random = self._context.random
+        jitter = random.uniform(1 - INTERVAL_JITTER, 1 + INTERVAL_JITTER)
+        report.delay_next_call(now + throttle.SAMPLE_INTERVAL_MS * jitter)
         if random.random() >= self.call_probability:
             return False
-        customer.uses_slots = is_thin and self.gossip.is_fresh(now)
-        self._enter_epoch(now, key, customer)
-        amount = customer.start_call(now)
-        self.context.actions.append(IncrementCounter(customer.counter_key, amount, 2 * customer.epoch_length))
+        report.choose_epoch_kind(is_slot=is_widely_shared and self._gossip.is_fresh(now))
+        self._send_call(now, customer)
         return True
 
-    def _enter_epoch(self, now: float, key: int, customer: CustomerRecord) -> None:
-        length = self._epoch_length(customer)
-        epoch = int(now // length)
-        if (epoch, length) != (customer.epoch, customer.epoch_length):
-            customer.start_epoch(epoch, length)
-            name = counter_key(key, epoch, length if customer.uses_slots else 0.0)
-            self.buckets.table.change_counter_key(customer, name)
-
-    def _epoch_length(self, customer: CustomerRecord) -> float:
-        """Time that one counter name spans; all limiters with the same settings derive the same."""
-        if not self.buckets.is_spread_thin(customer):
-            return EPOCH_MS
+    def _sample_by_even_split(self, now: float, customer: Customer) -> None:
+        """Let the even split stand for a sample that is missing."""
+        usage = customer.usage
+        if not self._customers.lacks_samples(customer, now):
+            return
+        if now - usage.known_since >= throttle.SAMPLE_INTERVAL_MS:
+            usage.begin_even_split_sample()
+            usage.record_sample(now, customer.plan, usage.expected_remote_units)
+
+    def _send_call(self, now: float, customer: Customer) -> None:
+        epoch, key = self._enter_epoch(now, customer)
+        amount = customer.report.start_call(now)
+        self._in_flight[key] = customer
+        self._context.actions.append(IncrementCounter(key, amount, time_to_live=2 * epoch.length))
+
+    def _enter_epoch(self, now: float, customer: Customer) -> tuple[CounterEpoch, int]:
+        """Return the epoch of `now`, and the key under which the customer is counted in it."""
+        report = customer.report
+        epoch = self._epoch_at(now, self._epoch_length(customer))
+        if report.key is None or epoch != report.epoch:
+            slot_length = epoch.length if report.counts_slot else 0.0
+            report.start_epoch(epoch, counter_key(customer.key, epoch.index, slot_length))
+        assert report.key is not None
+        return epoch, report.key
+
+    def _epoch_at(self, now: float, length: float) -> CounterEpoch:
+        index = int(now // length)
+        newest = self._epochs.get(length)
+        if newest is None or newest.index != index:
+            newest = CounterEpoch(index, length, start=index * length)
+            self._epochs[length] = newest
+        return newest
+
+    def _epoch_length(self, customer: Customer) -> float:
+        """Return how long one key counts; all limiters with the same settings derive the same."""
+        if not self._customers.is_widely_shared(customer):
+            return MAX_EPOCH_MS
         plan = customer.plan
-        if customer.uses_slots:
-            return min(EPOCH_MS, 1000 * customer.slot_units() / plan.rate)
-        return min(EPOCH_MS, THIN_EPOCH_BURSTS * 1000 * plan.burst / plan.rate)
-
-    def handle_reply(self, now: float, reply: CounterReply) -> CustomerRecord | None:
-        """Take in a reply; the customer that it is for, if its call is still in flight."""
-        customer = self.buckets.table.by_counter_key.get(reply.key)
-        if customer is None or customer.units_in_call is None:
+        if customer.report.counts_slot:
+            return min(MAX_EPOCH_MS, 1000 * slot_units(plan) / plan.rate)
+        return min(MAX_EPOCH_MS, WIDELY_SHARED_EPOCH_BURSTS * 1000 * plan.burst / plan.rate)
+
+    def handle_reply(self, now: float, reply: CounterReply) -> Customer | None:
+        """Take in the end of a call.
+
+        Returns:
+            The customer that it was made for; None where no call under its key is in flight.
+        """
+        customer = self._in_flight.pop(reply.key, None)
+        if customer is None:
             return None
-        added = customer.take_units_in_call()
-        self.buckets.advance(customer, now)
+        report = customer.report
+        added = report.end_call()
+        self._customers.advance(customer, now)
         self._adjust_call_probability(reply)
         if reply.outcome is not Outcome.OK:
-            # A missing sample, whatever the cause: the even split or the probability stands for it.
-            customer.mark_call_failed(added, is_uncertain=reply.outcome is Outcome.TIMEOUT)
+            # A sample is missing, whatever the cause: the even split or the probability stands for it.
+            report.mark_call_failed(added, is_uncertain=reply.outcome is Outcome.TIMEOUT)
             return customer
-        if self.buckets.is_spread_thin(customer):
-            self._record_thin_total(now, customer, reply.total - customer.reserved_units)
+        if self._customers.is_widely_shared(customer):
+            self._record_total(now, customer, reply.total - report.reserved_units)
         else:
             self._record_growth(now, customer, reply.total, added)
-        customer.mark_counted(now, reply.total)
+        report.record_total(now, reply.total)
         return customer
 
     def _adjust_call_probability(self, reply: CounterReply) -> None:
-        """Follow the counter's load as the throttle follows a quota's: times target / load, clamped."""
-        latency = timeout = self.context.settings.counter_timeout
+        """Follow the counter's load as the throttle follows a quota's use: times target / load, clamped."""
+        timeout = self._context.settings.counter_timeout
+        latency = timeout
         if reply.outcome is Outcome.OK:
             latency = reply.latency
-            self.best_latency = min(latency, self.best_latency * 1.01 or latency)
-        full_load = FULL_LOAD_SHARE * (timeout - self.best_latency)
-        load = (latency - self.best_latency) / max(full_load, 1e-6)
-        step = min(MAX_CALL_STEP, max(1 / MAX_CALL_STEP, throttle.TARGET_UTILIZATION / max(load, 1e-6)))
+            self._record_latency(latency)
+        best_latency = self._best_latency or 0.0
+        full_load = FULL_LOAD_SHARE * (timeout - best_latency)
+        load = (latency - best_latency) / max(full_load, 1e-6)
+        step = clamp(throttle.TARGET_UTILIZATION / max(load, 1e-6), 1 / MAX_CALL_STEP, MAX_CALL_STEP)
         self.call_probability = throttle.clamped(self.call_probability * step, MIN_CALL_PROBABILITY)
 
+    def _record_latency(self, latency: float) -> None:
+        if self._best_latency:
+            self._best_latency = min(latency, self._best_latency * BEST_LATENCY_GROWTH)
+        else:
+            self._best_latency = latency
+
     @staticmethod
-    def _record_thin_total(now: float, customer: CustomerRecord, used: float) -> None:
-        """Judge a customer by one total alone: the bucket began the epoch as recent decisions left it."""
-        plan, rate = customer.plan, customer.plan.rate / 1000
-        elapsed = now - customer.epoch_start
-        customer.remote_rate = min(rate, used / max(elapsed, throttle.SAMPLE_INTERVAL_MS))
-        if customer.uses_slots:
-            customer.tokens = customer.slot_units() - used
+    def _record_total(now: float, customer: Customer, used: float) -> None:
+        """Judge a widely shared customer by one total alone."""
+        plan = customer.plan
+        report = customer.report
+        assert report.epoch is not None
+        elapsed = now - report.epoch.start
+        if report.counts_slot:
+            customer.usage.record_slot_total(plan, used, elapsed, slot_units(plan))
             return
-        at_start = plan.burst * customer.admit_share**4
-        customer.tokens = min(plan.burst, max(0.0, at_start + rate * elapsed - used))
-        customer.sampled_at = customer.updated_at = now
-        customer.local_units = 0.0
-        customer.utilization = used / max(elapsed, throttle.UPDATE_INTERVAL_MS) / rate
-        # The update of every interval that the total covers, of which this is the only sample.
-        intervals = min(elapsed / throttle.UPDATE_INTERVAL_MS, 20.0)
-        factor = (throttle.TARGET_UTILIZATION / max(customer.utilization, 0.1)) ** intervals
-        customer.probability = throttle.clamped(customer.probability * factor)
-
-    def _record_growth(self, now: float, customer: CustomerRecord, total: float, added: float) -> None:
-        """The others' use is what the total grew by, less what this limiter added."""
-        growth = total - customer.counter_total
-        known = added + customer.unconfirmed_units
-        if growth + COUNT_TOLERANCE < added:  # counts were lost: the greater of what is known
-            remote_units = max(total - added, customer.expected_remote_units)
-        elif self.buckets.lacks_samples(customer, now):  # the greater of the split and the use seen at last
-            last_total_at = max(customer.counter_total_at, customer.epoch_start)
-            pace = max(0.0, growth - known) / max(now - last_total_at, throttle.SAMPLE_INTERVAL_MS)
-            since_sample = max(now - customer.sampled_at, throttle.SAMPLE_INTERVAL_MS)
-            remote_units = max(customer.expected_remote_units, pace * since_sample)
+        # The bucket is taken to have begun the epoch as recent decisions left it.
+        tokens_at_start = plan.burst * customer.admit_share**START_FILL_EXPONENT
+        customer.usage.record_epoch_total(now, plan, used, elapsed, tokens_at_start)
+
+    def _record_growth(self, now: float, customer: Customer, total: float, added: float) -> None:
+        """Sample the other limiters' use: what the total grew by, less what this limiter added.
+
+        Args:
+            now: Time of the reply.
+            customer: The customer that was counted.
+            total: The total of the reply.
+            added: Units that the call added.
+        """
+        usage = customer.usage
+        report = customer.report
+        growth = total - report.total
+        known = added + report.unconfirmed_units
+        if growth + COUNT_TOLERANCE < added:
+            # The counter lost counts: the greater of what is known stands for the others' use.
+            remote_units = max(total - added, usage.expected_remote_units)
+        elif self._customers.lacks_samples(customer, now):
+            remote_units = self._overdue_remote_units(now, customer, growth - known)
         else:
-            remote_units = max(0.0, growth - (known if growth + COUNT_TOLERANCE >= known else added))
-        if added <= growth + COUNT_TOLERANCE < known:  # the unanswered call was not added
-            customer.unreported_units += customer.unconfirmed_units
-        if customer.sampled_at < 0:
-            self._record_first_total(now, customer, remote_units)
+            own_units = known if growth + COUNT_TOLERANCE >= known else added
+            remote_units = max(0.0, growth - own_units)
+        if added <= growth + COUNT_TOLERANCE < known:
+            report.return_unconfirmed()
+        if usage.has_sample:
+            usage.record_sample(now, customer.plan, remote_units)
         else:
-            self.buckets.record_sample(now, customer, remote_units)
+            assert report.epoch is not None
+            elapsed = max(now - report.epoch.start, 1.0)
+            usage.record_first_total(now, customer.plan, remote_units, elapsed)
 
     @staticmethod
-    def _record_first_total(now: float, customer: CustomerRecord, remote_units: float) -> None:
-        """A whole epoch's use at once: distinguish a steady use from a drained bucket."""
-        plan = customer.plan
-        elapsed = max(now - customer.epoch_start, 1.0)
-        steady = plan.burst * (1 - 1000 * remote_units / max(plan.rate * elapsed, 1e-9))
-        most = max(steady, plan.burst - remote_units)
-        customer.tokens = max(0.0, min(plan.burst - customer.local_units, most))
-        customer.remote_rate = min(remote_units / elapsed, plan.rate / 1000)
-        customer.mark_sampled(now)
+    def _overdue_remote_units(now: float, customer: Customer, growth: float) -> float:
+        """Return the others' use since a sample that is long ago: by even split or growth, the greater.
+
+        Args:
+            now: Time of the total.
+            customer: The customer that was counted.
+            growth: Units by which the others' use in the epoch grew since the last total.
+        """
+        usage = customer.usage
+        report = customer.report
+        assert report.epoch is not None
+        last_total_at = report.epoch.start
+        if report.total_at is not None:
+            last_total_at = max(report.total_at, last_total_at)
+        remote_rate = max(0.0, growth) / max(now - last_total_at, throttle.SAMPLE_INTERVAL_MS)
+        since_sample = max(now - usage.sampled_at, throttle.SAMPLE_INTERVAL_MS)
+        return max(usage.expected_remote_units, remote_rate * since_sample)
--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from limiter.model.records import CustomerRecord
+from limiter.policy.customer import Customer
 from tests.support.policy_driver import PolicyDriver, make_driver
-from tests.support.policy_scenarios import make_thin_driver, sampled_customer
+from tests.support.policy_scenarios import make_wide_driver, sampled_customer
 
 
 @pytest.fixture
@@ -16,12 +16,12 @@
 
 
 @pytest.fixture
-def customer(driver: PolicyDriver) -> CustomerRecord:
+def customer(driver: PolicyDriver) -> Customer:
     """Customer 1 of `driver`, after one usage sample."""
     return sampled_customer(driver)
 
 
 @pytest.fixture
-def thin_driver() -> PolicyDriver:
+def wide_driver() -> PolicyDriver:
     """A limiter whose share of a customer's burst is below one request."""
-    return make_thin_driver()
+    return make_wide_driver()
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -6,18 +6,19 @@
 
 from limiter.model.actions import PollDiscovery, RejectRequest
 from limiter.model.events import DiscoveryPollFailed, TimerFired
-from limiter.model.records import CustomerRecord
+from limiter.policy.context import Timer
+from limiter.policy.customer import Customer
 from tests.support.policy_driver import PolicyDriver, make_driver
 
 
 def test_retry_after_is_when_the_bucket_holds_the_units_again(
-    driver: PolicyDriver, customer: CustomerRecord
+    driver: PolicyDriver, customer: Customer
 ) -> None:
     """The bucket fills by the quota less the remote rate."""
-    customer.tokens = 0.25
-    customer.probability = 0.0
-    customer.remote_rate = 0.005  # half of 10 units a second
-    customer.tokens_at = driver.now
+    customer.usage.adopt_tokens(0.25)
+    customer.usage.adopt_probability(0.0)
+    customer.usage.remote_rate = 0.005  # half of 10 units a second
+    customer.usage.refilled_at = driver.now
     rejections = [
         action
         for request_id in range(100, 120)
@@ -28,15 +29,14 @@
     assert rejections[0].retry_after == pytest.approx(400.0)
 
 
-def test_a_superseded_timer_does_nothing(driver: PolicyDriver) -> None:
+def test_a_superseded_timer_does_nothing(driver: PolicyDriver, customer: Customer) -> None:
     """A sooner timer has been set since, and fires by itself."""
-    admission = driver.engine.admission
-    admission.housekeeping_at = 500.0
-    pending = admission.pending
+    housekeeping = driver.engine.admission.housekeeping
+    housekeeping.schedule(0.0, 500.0, customer)
+    driver.engine.context.take_actions()
     driver.now = 100.0
-    assert driver.feed(TimerFired(0)) == []
-    assert admission.housekeeping_at == 500.0
-    assert admission.pending is pending
+    assert driver.feed(TimerFired(Timer.HOUSEKEEPING)) == []
+    assert housekeeping.take_due(500.0) == [customer]
 
 
 def test_discovery_is_polled_at_the_start_and_again_after_a_failure() -> None:
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -5,76 +5,74 @@
 import pytest
 
 from limiter.model.events import CounterReply, Outcome
-from limiter.model.records import CustomerRecord
 from limiter.model.settings import QuotaPlan
+from limiter.policy.customer import Customer
 from limiter.policy.engine import PolicyEngine
 from limiter.policy.throttle import EWMA_WEIGHT, MIN_PROBABILITY, TARGET_UTILIZATION
 from tests.support.policy_driver import PolicyDriver, make_driver, settings
-from tests.support.policy_scenarios import sampled_customer
+from tests.support.policy_scenarios import counter_key_of, sampled_customer
 
 SAMPLE_AFTER_MS = 400.0
 
 
-def record_sample(driver: PolicyDriver, customer: CustomerRecord, remote_units: float) -> None:
+def record_sample(driver: PolicyDriver, customer: Customer, remote_units: float) -> None:
     """Record a usage sample, one sample interval after the previous one."""
     driver.now += SAMPLE_AFTER_MS
     driver.record_remote_usage(customer, remote_units)
 
 
 def test_a_sample_multiplies_the_probability_by_target_over_utilization_once(
-    driver: PolicyDriver, customer: CustomerRecord
+    driver: PolicyDriver, customer: Customer
 ) -> None:
     """Between samples the probability stays as it is."""
     driver.now += SAMPLE_AFTER_MS
-    driver.engine.buckets.advance(customer, driver.now)
+    driver.engine.customers.advance(customer, driver.now)
     driver.record_remote_usage(customer, 8.0)  # 20 units a second of a quota of 10
     utilization = EWMA_WEIGHT * 2.0
-    assert customer.utilization == pytest.approx(utilization)
-    assert customer.probability == pytest.approx(TARGET_UTILIZATION / utilization)
-    before = customer.probability
+    assert customer.usage.utilization == pytest.approx(utilization)
+    assert customer.usage.probability == pytest.approx(TARGET_UTILIZATION / utilization)
+    before = customer.usage.probability
     driver.advance_to(driver.now + 5000.0)
-    assert customer.probability == before  # no change without a sample
+    assert customer.usage.probability == before  # no change without a sample
 
 
-def test_probability_is_clamped_between_its_floor_and_one(
-    driver: PolicyDriver, customer: CustomerRecord
-) -> None:
+def test_probability_is_clamped_between_its_floor_and_one(driver: PolicyDriver, customer: Customer) -> None:
     """Many samples above and below the quota move it no further than to its bounds."""
     for _ in range(20):
         record_sample(driver, customer, remote_units=100.0)
-    assert customer.probability == MIN_PROBABILITY
+    assert customer.usage.probability == MIN_PROBABILITY
     for _ in range(200):
         record_sample(driver, customer, remote_units=0.0)
-    assert customer.probability == 1.0
+    assert customer.usage.probability == 1.0
 
 
 def test_one_sample_of_zero_does_not_restore_the_probability(
-    driver: PolicyDriver, customer: CustomerRecord
+    driver: PolicyDriver, customer: Customer
 ) -> None:
     """Few units an interval: a single empty sample is chance."""
     for _ in range(10):
         record_sample(driver, customer, remote_units=12.0)
-    lowered = customer.probability
+    lowered = customer.usage.probability
     record_sample(driver, customer, remote_units=0.0)
-    assert customer.probability <= lowered * 1.2 + 1e-9
+    assert customer.usage.probability <= lowered * 1.2 + 1e-9
 
 
 def test_requests_pass_while_the_bucket_holds_tokens_whatever_the_probability(
-    driver: PolicyDriver, customer: CustomerRecord
+    driver: PolicyDriver, customer: Customer
 ) -> None:
     """The probability decides on requests beyond the bucket only."""
-    customer.probability = MIN_PROBABILITY
+    customer.usage.adopt_probability(MIN_PROBABILITY)
     driver.request(2)
     assert driver.sent[2]
 
 
 def test_remote_usage_empties_the_bucket_and_new_requests_are_rejected(
-    driver: PolicyDriver, customer: CustomerRecord
+    driver: PolicyDriver, customer: Customer
 ) -> None:
     """The others' units count against the quota like the limiter's own."""
     driver.now += 500.0
     driver.record_remote_usage(customer, 40.0)
-    customer.probability = MIN_PROBABILITY
+    customer.usage.adopt_probability(MIN_PROBABILITY)
     driver.request(3)
     assert driver.answered.get(3) == "RejectRequest"
 
@@ -127,42 +125,40 @@
 
 @pytest.mark.parametrize(("was_added", "still_unreported"), [(True, 0.0), (False, 5.0)])
 def test_units_of_an_unanswered_call_are_reported_again_only_if_the_counter_lacks_them(
-    driver: PolicyDriver, customer: CustomerRecord, was_added: bool, still_unreported: float
+    driver: PolicyDriver, customer: Customer, was_added: bool, still_unreported: float
 ) -> None:
     """Its time-out does not tell whether the counter added them; the next total does."""
     engine = driver.engine
     sampler = engine.sampler
     first_call_at = driver.now + 500.0
     second_call_at = driver.now + 1000.0
-    customer.unreported_units = 5.0
-    sampler.call(first_call_at, 1, customer)
-    engine.handle(first_call_at, CounterReply(customer.counter_key, Outcome.TIMEOUT, 0.0, 50.0))
-    customer.next_call_at = 0.0
-    sampler.call(second_call_at, 1, customer)
-    total = customer.counter_total + (5.0 if was_added else 0.0)
-    engine.handle(second_call_at, CounterReply(customer.counter_key, Outcome.OK, total, 2.0))
-    assert customer.unreported_units == still_unreported
+    customer.report.replace(5.0)
+    sampler.call(first_call_at, customer)
+    engine.handle(first_call_at, CounterReply(counter_key_of(customer), Outcome.TIMEOUT, 0.0, 50.0))
+    customer.report.delay_next_call(until=0.0)
+    sampler.call(second_call_at, customer)
+    total = customer.report.total + (5.0 if was_added else 0.0)
+    engine.handle(second_call_at, CounterReply(counter_key_of(customer), Outcome.OK, total, 2.0))
+    assert customer.report.unreported_units == still_unreported
 
 
 def test_a_total_below_the_known_one_means_an_emptied_counter(
-    driver: PolicyDriver, customer: CustomerRecord
+    driver: PolicyDriver, customer: Customer
 ) -> None:
     """It was restarted, and the units before are not free again."""
-    customer.counter_total = 500.0
-    customer.unreported_units = 2.0
-    tokens_before = customer.tokens
+    customer.report.record_total(driver.now, 500.0)
+    customer.report.replace(2.0)
+    tokens_before = customer.usage.tokens
     driver.now += 500.0
-    driver.engine.sampler.call(driver.now, 1, customer)
-    driver.engine.handle(driver.now, CounterReply(customer.counter_key, Outcome.OK, 2.0, 2.0))
-    assert customer.counter_total == 2.0
-    assert customer.tokens <= tokens_before + 5.0  # the bucket is not filled anew
-    assert customer.failed_calls == 0
+    driver.engine.sampler.call(driver.now, customer)
+    driver.engine.handle(driver.now, CounterReply(counter_key_of(customer), Outcome.OK, 2.0, 2.0))
+    assert customer.report.total == 2.0
+    assert customer.usage.tokens <= tokens_before + 5.0  # the bucket is not filled anew
+    assert customer.report.failed_calls == 0
 
 
-def test_a_reply_for_an_unknown_counter_name_changes_nothing(
-    driver: PolicyDriver, customer: CustomerRecord
-) -> None:
-    """The customer was forgotten, or the name is of an earlier epoch."""
+def test_a_reply_for_an_unknown_counter_key_changes_nothing(driver: PolicyDriver, customer: Customer) -> None:
+    """No call under that key is in flight."""
     before = str(customer)
     assert driver.feed(CounterReply(12345, Outcome.OK, 9.0, 1.0)) == []
     assert str(driver.customer_record()) == before
@@ -177,7 +173,7 @@
         for sent in driver.in_flight():
             driver.end_attempt(sent, Outcome.OK, 50.0, metered_utilization=3.0)
     assert not driver.counter_calls
-    assert driver.customer_record().probability < 0.2
+    assert driver.customer_record().usage.probability < 0.2
 
 
 def test_billed_units_replace_the_estimate() -> None:
@@ -186,9 +182,9 @@
     customer = sampled_customer(driver)
     driver.request(2)
     [sent] = driver.in_flight()
-    tokens_before = customer.tokens
+    tokens_before = customer.usage.tokens
     driver.end_attempt(sent, Outcome.OK, 50.0, billed_units=6.0)
-    assert customer.tokens == pytest.approx(tokens_before - 5.0)
+    assert customer.usage.tokens == pytest.approx(tokens_before - 5.0)
 
 
 def test_max_concurrency_bounds_the_attempts_in_flight_of_a_customer() -> None:
@@ -210,9 +206,9 @@
         driver.request(request_id, customer=1000)
         driver.complete_in_flight()
         driver.answer_all_calls(Outcome.OK, 1.0)
-    customers = driver.engine.buckets.table
+    customers = driver.engine.customers.table
     assert list(customers.records) == [1000]
-    assert len(customers.by_counter_key) == 1
+    assert driver.engine.sampler.calls_in_flight == 0
     assert not driver.engine.attempts.requests
 
 
@@ -232,4 +228,4 @@
         driver.request(request_id)
         driver.complete_in_flight()
         driver.answer_all_calls(Outcome.REJECTED)
-    assert driver.customer_record().probability < 0.2
+    assert driver.customer_record().usage.probability < 0.2
--- a/tests/policy/test_usage_gossip.py
+++ b/tests/policy/test_usage_gossip.py
@@ -9,7 +9,8 @@
 from limiter.model.events import GossipReceived, Outcome
 from limiter.model.settings import QuotaPlan, Settings
 from limiter.policy.context import PolicyContext
-from limiter.policy.usage_gossip import FORGET_AFTER_MS, INTAKE_SHARE, SILENT_INTERVALS, UsageGossip
+from limiter.policy.gossiped_usage import FORGET_AFTER_MS
+from limiter.policy.usage_gossip import INTAKE_SHARE, MAX_INTERVALS_WITHOUT_MESSAGE, UsageGossip
 from tests.support.policy_driver import PolicyDriver, make_driver, settings
 
 RATE_PLAN, CONCURRENCY_PLAN = 0, 1  # indexes into PLANS
@@ -80,14 +81,14 @@
     for customer in range(2**33 - 120, 2**33):
         sender.record_forwarded(0.0, customer, customer % 2, 1.0)
     messages = 0
-    while sender.unsent:
+    while sender.has_unsent_units:
         body = sender.encode(1, 10.0)
         assert len(body) <= MAX_MESSAGE_BYTES
         receiver.receive(0.0, body)
         messages += 1
     assert messages == 3
-    assert all(usage.tokens == usage.plan.burst - 1.0 for usage in receiver.usage.values())
-    assert len(receiver.usage) == 120
+    assert all(usage.tokens == usage.plan.burst - 1.0 for usage in receiver.usage.records.values())
+    assert len(receiver.usage.records) == 120
 
 
 def test_fractions_of_units_are_sent_once_they_sum_up_to_a_unit() -> None:
@@ -96,7 +97,7 @@
     assert len(gossip.encode(0, 0.0)) == HEADER.size
     gossip.record_forwarded(0.0, 1, 0, 0.75)
     assert len(gossip.encode(0, 0.0)) == HEADER.size + GROUP_HEADER.size + ENTRY_BYTES
-    assert gossip.unsent == {(0, 1): 0.5}
+    assert gossip.unsent_units(customer=1, plan_index=0) == 0.5
 
 
 @pytest.mark.parametrize(
@@ -112,8 +113,8 @@
 def test_a_malformed_message_changes_nothing(body: bytes) -> None:
     driver = make_limiter()
     receive(driver, body)
-    assert not driver.engine.gossip.usage
-    assert not driver.engine.gossip.peer_weight
+    assert not driver.engine.gossip.usage.records
+    assert not driver.engine.gossip.peer_load.weight
 
 
 def test_with_a_well_filled_bucket_a_request_is_forwarded_without_a_counter_call() -> None:
@@ -159,14 +160,14 @@
 
 def test_the_probability_falls_with_the_reported_use_and_recovers() -> None:
     gossip = make_gossip(plans=PLANS)
-    units_over_quota = round(4 * PLANS[RATE_PLAN].rate * gossip.sample_interval / 1000)
+    units_over_quota = round(4 * PLANS[RATE_PLAN].rate * gossip.usage.sample_interval / 1000)
     now = 0.0
     for _ in range(6):
-        now += gossip.sample_interval
+        now += gossip.usage.sample_interval
         gossip.receive(now - 1.0, peer_message(units=units_over_quota))
         during_flood = gossip.usage_of(now, CUSTOMER, RATE_PLAN).probability
     for _ in range(12):
-        now += gossip.sample_interval
+        now += gossip.usage.sample_interval
         after_flood = gossip.usage_of(now, CUSTOMER, RATE_PLAN).probability
     assert during_flood < 0.1
     assert after_flood == 1.0
@@ -175,11 +176,11 @@
 def test_peers_that_fell_silent_are_not_relied_on() -> None:
     driver = make_limiter()
     receive(driver, peer_message(in_flight=9, latency=100.0))
-    driver.advance_to(driver.now + (SILENT_INTERVALS + 0.1) * driver.engine.gossip.interval)
+    driver.advance_to(driver.now + (MAX_INTERVALS_WITHOUT_MESSAGE + 0.1) * driver.engine.gossip.interval)
     request(driver)
     assert 1 not in driver.sent  # held for the counter, as where limiters may not gossip
     assert len(driver.counter_calls) == 1
-    assert driver.engine.gossip.peer_weight < 0.05  # of one limiter, this one
+    assert driver.engine.gossip.peer_load.weight < 0.05  # of one limiter, this one
 
 
 def rejections_under_concurrency_cap(peer_units: int) -> int:
@@ -188,11 +189,11 @@
     for seed in range(40):
         driver = make_limiter(seed)
         gossip = driver.engine.gossip
-        gossip.latency = 500.0
+        gossip.set_mean_latency(500.0)
         receive(driver, peer_message(peer_units, CONCURRENCY_PLAN))
-        driver.advance_to(driver.now + gossip.sample_interval)
+        driver.advance_to(driver.now + gossip.usage.sample_interval)
         receive(driver, peer_message())
-        gossip.latency = 500.0
+        gossip.set_mean_latency(500.0)
         request(driver, plan_index=CONCURRENCY_PLAN)
         rejected = [action for action in driver.actions if isinstance(action, RejectRequest)]
         assert all(action.retry_after > 0 for action in rejected)
@@ -263,5 +264,5 @@
         gossip.record_forwarded(0.0, customer, RATE_PLAN, 1.0)
     now = 2 * FORGET_AFTER_MS
     gossip.record_forwarded(now, 0, RATE_PLAN, 3.0)
-    assert list(gossip.usage) == [0]
+    assert list(gossip.usage.records) == [0]
     assert gossip.usage_of(now, 0, RATE_PLAN).tokens == PLANS[RATE_PLAN].burst - 3.0
--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -32,8 +32,9 @@
     Outcome,
     TimerFired,
 )
-from limiter.model.records import CustomerRecord, ServerRecord
+from limiter.model.records import ServerRecord
 from limiter.model.settings import DedupScope, Idempotency, QuotaPlan, RequestClass, Settings
+from limiter.policy.customer import Customer
 from limiter.policy.engine import PolicyEngine
 
 # The driver's own list, so that a change of the model's list does not change the check.
@@ -289,9 +290,9 @@
         while self.counter_calls:
             self.answer_counter(outcome, total)
 
-    def customer_record(self, key: int = 1) -> CustomerRecord:
+    def customer_record(self, key: int = 1) -> Customer:
         """What the engine holds of a customer."""
-        return self.engine.buckets.table.records[key]
+        return self.engine.customers.table.records[key]
 
     @property
     def server_records(self) -> dict[bytes, ServerRecord]:
@@ -302,9 +303,9 @@
         """What the engine holds of server `index`."""
         return self.server_records[endpoint_id(index)]
 
-    def record_remote_usage(self, customer: CustomerRecord, units: float) -> None:
+    def record_remote_usage(self, customer: Customer, units: float) -> None:
         """Record now that the other limiters used `units` since the last sample."""
-        self.engine.buckets.record_sample(self.now, customer, remote_units=units)
+        customer.usage.record_sample(self.now, customer.plan, remote_units=units)
 
     def in_flight(self) -> list[SentAttempt]:
         """The attempts in flight, those of a request in the order sent."""
--- a/tests/support/policy_scenarios.py
+++ b/tests/support/policy_scenarios.py
@@ -5,17 +5,17 @@
 from collections.abc import Iterable
 
 from limiter.model.events import Outcome
-from limiter.model.records import CustomerRecord
 from limiter.model.settings import QuotaPlan
-from limiter.policy.usage_sampling import THIN_EPOCH_BURSTS
+from limiter.policy.customer import Customer
+from limiter.policy.usage_sampling import WIDELY_SHARED_EPOCH_BURSTS
 from tests.support.policy_driver import PolicyDriver, make_driver
 
 NO_QUOTA = (QuotaPlan(),)
-THIN_PLAN = QuotaPlan(rate=2.0, burst=8.0)
-THIN_EPOCH_MS = THIN_EPOCH_BURSTS * 4000.0
+WIDE_PLAN = QuotaPlan(rate=2.0, burst=8.0)
+WIDE_EPOCH_MS = WIDELY_SHARED_EPOCH_BURSTS * 4000.0
 
 
-def sampled_customer(driver: PolicyDriver) -> CustomerRecord:
+def sampled_customer(driver: PolicyDriver) -> Customer:
     """Customer 1 after one request and one usage sample, which showed no remote usage."""
     driver.request(1)
     driver.complete_in_flight()
@@ -23,26 +23,32 @@
     return driver.customer_record()
 
 
+def counter_key_of(customer: Customer) -> int:
+    """The key under which the customer was counted last."""
+    assert customer.report.key is not None
+    return customer.report.key
+
+
 def answer_calls_with_remote_usage(driver: PolicyDriver, units: float) -> None:
     """Answer the counter calls of customer 1 as a counter to which other limiters added `units` for each."""
     while driver.counter_calls:
         call = driver.counter_calls[0]
-        total = driver.customer_record().counter_total + call.amount + units
+        total = driver.customer_record().report.total + call.amount + units
         driver.answer_counter(Outcome.OK, total)
 
 
-def make_thin_driver(seed: int = 1, now: float = 10 * THIN_EPOCH_MS + 2000.0) -> PolicyDriver:
-    """A limiter of 200, each with a share of THIN_PLAN's burst that is below one request.
+def make_wide_driver(seed: int = 1, now: float = 10 * WIDE_EPOCH_MS + 2000.0) -> PolicyDriver:
+    """A limiter of 200, each with a share of WIDE_PLAN's burst that is below one request.
 
     Unless another time is given, it is started two seconds into an epoch of the counter's names.
     """
-    driver = make_driver(seed=seed, limiter_count=200, plans=(THIN_PLAN,))
+    driver = make_driver(seed=seed, limiter_count=200, plans=(WIDE_PLAN,))
     driver.now = now
     driver.engine.context.started_at = now
     return driver
 
 
-def request_thin(driver: PolicyDriver, request_id: int, customer: int = 1, patience: float = 3000.0) -> None:
+def request_wide(driver: PolicyDriver, request_id: int, customer: int = 1, patience: float = 3000.0) -> None:
     """Feed a request of a customer whose requests go to 120 limiters."""
     driver.request(request_id, customer=customer, size=120.0, patience=patience)
 
