--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -14,7 +14,9 @@
 import time
 from collections.abc import AsyncIterator, Callable, Coroutine
 from pathlib import Path
-from typing import Any, TypedDict, Unpack
+from typing import Any, TypedDict, Unpack, cast
+
+import pytest
 
 from tests.support.client import HEALTH_CHECK, Connection, Response
 from tests.support.fake_counter import FakeCounter
@@ -203,6 +205,17 @@
             await harness.kill()
 
 
+def limiter_with(**options: Unpack[HarnessOptions]) -> pytest.MarkDecorator:
+    """Return a mark that gives these options to the `harness` fixture of a test."""
+    return pytest.mark.limiter_with(**options)
+
+
+def marked_options(test: pytest.Item) -> HarnessOptions:
+    """Return the options of the test's `limiter_with` mark, none without the mark."""
+    mark = test.get_closest_marker("limiter_with")
+    return cast("HarnessOptions", mark.kwargs if mark else {})
+
+
 def run_scenario(
     scenario: Callable[[LimiterHarness], Coroutine[Any, Any, None]], **options: Unpack[HarnessOptions]
 ) -> None:
@@ -218,6 +231,6 @@
 async def wait_for_version(harness: LimiterHarness, version: int) -> None:
     """Wait until the limiter asks for changes since that version, and so has applied it."""
     await wait_until(
-        lambda: harness.discovery.targets and f"since={version}&" in harness.discovery.targets[-1][1],
+        lambda: harness.discovery.targets and f"since={version}&" in harness.discovery.targets[-1].target,
         f"a call since version {version}",
     )
--- a/tests/transport/test_dial_races.py
+++ b/tests/transport/test_dial_races.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.support.client import Connection, http_request
-from tests.support.harness import LimiterHarness, run_scenario
+from tests.support.harness import LimiterHarness, limiter_with
 from tests.support.in_process_limiter import list_is_read, request_ids
 from tests.support.limiter_settings import settings
 from tests.support.waiting import wait_until
@@ -22,7 +22,7 @@
 
 
 async def client_of_dialled_server(harness: LimiterHarness) -> Connection:
-    """A client whose request waits for a connection to the slow server."""
+    """Return a client whose request waits for a connection to the slow server."""
     await publish(harness, harness.slow_servers[0].list_entry(), full_list=True)
     client = await harness.connect()
     client.send(http_request("order", deadline_ms=60_000))
@@ -36,31 +36,29 @@
         {"state": "leaving"},
         {"state": "left"},
         {"startedAtMs": 5},
-        {"hostPort": "127.0.0.1:9"},  # where nobody listens
+        {"hostPort": "127.0.0.1:9"},  # Nobody listens at this address.
     ],
 )
-def test_a_dial_that_succeeds_after_its_server_drained_or_changed_sends_nothing(change: Any) -> None:
+@limiter_with(settings=LONG_DIAL_TIMEOUT, slow_servers=1)
+async def test_a_dial_that_succeeds_after_its_server_drained_or_changed_sends_nothing(
+    harness: LimiterHarness, change: Any
+) -> None:
     """The attempt was never sent, so the request goes to another server."""
+    client = await client_of_dialled_server(harness)
+    await publish(harness, harness.slow_servers[0].list_entry(**change), harness.servers[1].list_entry())
+    await harness.slow_servers[0].open()
+    assert (await client.response()).body == b"from s-0"  # The attempt was not sent, so a retry was safe.
+    assert harness.slow_servers[0].received == []
 
-    async def scenario(harness: LimiterHarness) -> None:
-        client = await client_of_dialled_server(harness)
-        await publish(harness, harness.slow_servers[0].list_entry(**change), harness.servers[1].list_entry())
-        await harness.slow_servers[0].open()
-        assert (await client.response()).body == b"from s-0"  # never sent, so it could go elsewhere
-        assert harness.slow_servers[0].received == []
 
-    run_scenario(scenario, settings=LONG_DIAL_TIMEOUT, slow_servers=1)
-
-
-def test_a_dial_that_succeeds_after_its_client_disconnected_sends_nothing() -> None:
+@limiter_with(settings=LONG_DIAL_TIMEOUT, slow_servers=1)
+async def test_a_dial_that_succeeds_after_its_client_disconnected_sends_nothing(
+    harness: LimiterHarness,
+) -> None:
     """The dial is cancelled with its request."""
-
-    async def scenario(harness: LimiterHarness) -> None:
-        client = await client_of_dialled_server(harness)
-        client.close()
-        await wait_until(lambda: not harness.slow_servers[0].pending_connections(), "the dial is cancelled")
-        await harness.slow_servers[0].open()
-        assert (await harness.send_request(http_request("submit", request_id="2"))).status == 200
-        assert request_ids(harness.slow_servers[0].received) == ["2"]
-
-    run_scenario(scenario, settings=LONG_DIAL_TIMEOUT, slow_servers=1)
+    client = await client_of_dialled_server(harness)
+    client.close()
+    await wait_until(lambda: not harness.slow_servers[0].pending_connections(), "the dial is cancelled")
+    await harness.slow_servers[0].open()
+    assert (await harness.send_request(http_request("submit", request_id="2"))).status == 200
+    assert request_ids(harness.slow_servers[0].received) == ["2"]
