--- a/tests/transport/test_pipelining.py
+++ b/tests/transport/test_pipelining.py
@@ -1,73 +1,101 @@
-"""Requests that follow each other on one client connection: unlike ones, and ones never read."""
+"""Requests that follow each other on one client connection: of unlike customers, or of a client that left."""
 
 from __future__ import annotations
 
 import asyncio
+from dataclasses import dataclass
 
 from tests.support.client import http_request
 from tests.support.fake_server import ReceivedRequest, respond_with
-from tests.support.harness import LimiterHarness, run_scenario
+from tests.support.harness import LimiterHarness, limiter_with
 from tests.support.in_process_limiter import request_ids, respond_after
 from tests.support.limiter_settings import settings
 from tests.support.waiting import wait_until
 
 
-def test_a_pipelined_request_is_not_forwarded_once_its_client_disconnected() -> None:
+async def test_a_pipelined_request_is_not_forwarded_once_its_client_disconnected(
+    harness: LimiterHarness,
+) -> None:
     """It is dropped with its connection."""
+    released = asyncio.Event()
+    harness.servers[0].answer = respond_after(released, respond_with(200))
+    client = await harness.connect()
+    client.send(http_request("order", request_id="1") + http_request("order", request_id="2"))
+    await wait_until(lambda: harness.received)
+    descriptors_before = harness.descriptors()
+    client.close()
+    await wait_until(lambda: harness.descriptors() < descriptors_before, "the limiter has closed it too")
+    released.set()
+    assert (await harness.send_request(http_request("order", request_id="3"))).status == 200
+    assert request_ids(harness.received) == ["1", "3"]
 
-    async def scenario(harness: LimiterHarness) -> None:
-        released = asyncio.Event()
-        harness.servers[0].answer = respond_after(released, respond_with(200))
-        client = await harness.connect()
-        client.send(http_request("order", request_id="1") + http_request("order", request_id="2"))
-        await wait_until(lambda: harness.received)
-        before = harness.descriptors()
-        client.close()
-        await wait_until(lambda: harness.descriptors() < before, "the limiter has closed it too")
-        released.set()
-        assert (await harness.send_request(http_request("order", request_id="3"))).status == 200
-        assert request_ids(harness.received) == ["1", "3"]
 
-    run_scenario(scenario)
+@dataclass(frozen=True)
+class MixedRequest:
+    """One of the requests of unlike customers, classes, plans and deadlines that share a connection."""
 
+    request_id: str
+    request_class: str
+    customer: str
+    plan: str
+    weight: str
+    deadline_ms: int
 
-def test_requests_of_unlike_customers_and_classes_share_a_connection() -> None:
+    @classmethod
+    def numbered(cls, number: int) -> MixedRequest:
+        """Make the request with this number; neighbouring numbers differ in every part."""
+        return cls(
+            request_id=f"r{number}",
+            request_class=("read", "order", "submit")[number % 3],
+            customer=f"{number % 4:016x}",
+            plan=("free", "one")[number % 2],
+            weight=f"units=1,spread={1 + number % 3},first={number % 2}",
+            deadline_ms=1000 + number,
+        )
+
+    def encode(self) -> bytes:
+        """Return the request as a client sends it."""
+        return http_request(
+            self.request_class,
+            request_id=self.request_id,
+            customer=self.customer,
+            deadline_ms=self.deadline_ms,
+            headers={"X-Tariff": self.plan, "X-Weight": self.weight},
+        )
+
+    def expected_response(self) -> tuple[int, bytes]:
+        """Return status and body for a client whose server responds with `respond_by_class`."""
+        return (502, b"") if self.request_class == "order" else (200, self.request_id.encode())
+
+    def check_forwarded(self, received: ReceivedRequest) -> None:
+        """Check that a server received this request with its own path, headers and deadline."""
+        assert received.line.split()[1] == f"/{self.request_class}/{self.customer}"
+        assert (received.headers["x-tariff"], received.headers["x-weight"]) == (self.plan, self.weight)
+        assert int(received.headers["x-deadline-ms"]) <= self.deadline_ms
+
+
+async def respond_by_class(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    """Respond with an error to an `order`, and with the request's id to the other classes."""
+    status = 500 if request.headers["x-class"] == "order" else 200
+    await respond_with(status, request.headers["x-request-id"].encode())(request, writer)
+
+
+UNLIMITED_PLAN = {"quotaRate": 0.0, "peakUnits": 0.0, "valueFactor": 1.0}
+TWO_PLANS = [{**UNLIMITED_PLAN, "name": "free"}, {**UNLIMITED_PLAN, "name": "one", "open": 1}]
+
+
+@limiter_with(settings=settings(contracts=TWO_PLANS, peersTotal=3))
+async def test_requests_of_unlike_customers_and_classes_share_a_connection(harness: LimiterHarness) -> None:
     """Each keeps its own headers, deadline and outcome."""
-    plan = {"quotaRate": 0.0, "peakUnits": 0.0, "valueFactor": 1.0}
-    plans = [{**plan, "name": "free"}, {**plan, "name": "one", "open": 1}]
-
-    async def respond_by_class(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        status = 500 if request.headers["x-class"] == "order" else 200
-        await respond_with(status, request.headers["x-request-id"].encode())(request, writer)
-
-    async def scenario(harness: LimiterHarness) -> None:
-        harness.servers[0].answer = respond_by_class
-        client = await harness.connect()
-        for number in range(12):
-            request_id = f"r{number}"
-            request_class = ("read", "order", "submit")[number % 3]
-            customer = f"{number % 4:016x}"
-            tariff = ("free", "one")[number % 2]
-            weight = f"units=1,spread={1 + number % 3},first={number % 2}"
-            deadline_ms = 1000 + number
-            client.send(
-                http_request(
-                    request_class,
-                    request_id=request_id,
-                    customer=customer,
-                    deadline_ms=deadline_ms,
-                    headers={"X-Tariff": tariff, "X-Weight": weight},
-                )
-            )
-            response = await client.response()
-            expected = (502, b"") if request_class == "order" else (200, request_id.encode())
-            assert (response.status, response.body) == expected
-            for received in harness.received:
-                if received.headers["x-request-id"] == request_id:
-                    assert received.line.split()[1] == f"/{request_class}/{customer}"
-                    assert (received.headers["x-tariff"], received.headers["x-weight"]) == (tariff, weight)
-                    assert int(received.headers["x-deadline-ms"]) <= deadline_ms
-        orders = [request for request in harness.received if request.headers["x-class"] == "order"]
-        assert request_ids(orders) == ["r1", "r4", "r7", "r10"]  # each of them once
-
-    run_scenario(scenario, settings=settings(contracts=plans, peersTotal=3))
+    harness.servers[0].answer = respond_by_class
+    client = await harness.connect()
+    for number in range(12):
+        request = MixedRequest.numbered(number)
+        client.send(request.encode())
+        response = await client.response()
+        assert (response.status, response.body) == request.expected_response()
+        for received in harness.received:
+            if received.headers["x-request-id"] == request.request_id:
+                request.check_forwarded(received)
+    orders = [received for received in harness.received if received.headers["x-class"] == "order"]
+    assert request_ids(orders) == ["r1", "r4", "r7", "r10"]  # Each order was forwarded once: no retries.
