--- a/tests/transport/test_counter_client.py
+++ b/tests/transport/test_counter_client.py
@@ -1,4 +1,4 @@
-"""The shared counter over loopback sockets: late, silent, wrong or gone."""
+"""The shared counter over loopback sockets, with late, missing, invalid and rejecting replies."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from tests.support.client import http_request
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_server import never_answer
-from tests.support.harness import LimiterHarness, run_scenario
+from tests.support.harness import LimiterHarness, limiter_with
 from tests.support.limiter_settings import settings_with_quota
 from tests.support.waiting import wait_until
 
 
 async def send_requests_until(harness: LimiterHarness, condition: Callable[[], bool]) -> None:
-    """Send requests, each of which may use the counter, until the condition holds; all must be answered."""
+    """Send requests that may use the counter until the condition holds; each must be served or rejected."""
     while not condition():
         assert (await harness.send_request(http_request())).status in (200, 429)
         await asyncio.sleep(0.02)
@@ -51,23 +51,23 @@
     return outcomes
 
 
-def test_calls_have_the_protocols_form_and_late_replies_keep_their_order() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        harness.counter.delay = 0.08  # each reply comes when its call has timed out already
-        for index in range(6):
-            assert (await harness.send_request(http_request(request_id=str(index)))).status in (200, 429)
-            await asyncio.sleep(0.25)
-        adds = [call for call in harness.counter.calls if call[0] == b"CNT.ADD"]
-        assert len(adds) > 2
-        for _, name, amount, time_to_live in adds:
-            assert 0 <= int(name) < 2**64
-            assert float(amount) >= 0
-            assert 1 <= int(time_to_live) <= 60000
-        assert harness.counter.connections == 1  # late is not dead: order and connection are kept
-        harness.counter.delay = 0.0
-        assert (await harness.send_request(http_request(request_id="last"))).status in (200, 429)
-
-    run_scenario(scenario, settings=settings_with_quota(rate=5.0, burst=10.0))
+@limiter_with(settings=settings_with_quota(rate=5.0, burst=10.0))
+async def test_calls_have_the_protocols_form_and_late_replies_keep_their_order(
+    harness: LimiterHarness,
+) -> None:
+    harness.counter.delay = 0.08  # Each call times out before its reply comes.
+    for index in range(6):
+        assert (await harness.send_request(http_request(request_id=str(index)))).status in (200, 429)
+        await asyncio.sleep(0.25)
+    adds = [call for call in harness.counter.calls if call[0] == b"CNT.ADD"]
+    assert len(adds) > 2
+    for _, name, amount, time_to_live in adds:
+        assert 0 <= int(name) < 2**64
+        assert float(amount) >= 0
+        assert 1 <= int(time_to_live) <= 60000
+    assert harness.counter.connections == 1  # Late replies do not end the connection.
+    harness.counter.delay = 0.0
+    assert (await harness.send_request(http_request(request_id="last"))).status in (200, 429)
 
 
 @pytest.mark.parametrize(
@@ -88,12 +88,12 @@
         b"*400000000\r\n",
     ],
 )
-def test_invalid_reply_ends_the_connection_and_requests_are_still_answered(reply: bytes) -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        harness.counter.text = reply
-        await send_requests_until(harness, lambda: harness.counter.connections >= 2)
-
-    run_scenario(scenario, settings=settings_with_quota(rate=5.0, burst=4.0))
+@limiter_with(settings=settings_with_quota(rate=5.0, burst=4.0))
+async def test_invalid_reply_ends_the_connection_and_requests_are_still_answered(
+    harness: LimiterHarness, reply: bytes
+) -> None:
+    harness.counter.text = reply
+    await send_requests_until(harness, lambda: harness.counter.connections >= 2)
 
 
 def test_only_busy_and_err_say_that_nothing_was_added() -> None:
@@ -110,60 +110,50 @@
 def test_after_an_invalid_reply_the_next_connection_is_opened_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A backoff would not end in this test.
+    # With these the test would time out if the client backed off.
     monkeypatch.setattr(counter_client_module, "FIRST_BACKOFF_SECONDS", 1000.0)
     monkeypatch.setattr(counter_client_module, "MAX_BACKOFF_SECONDS", 1000.0)
     outcomes = asyncio.run(call_counter([b"$2\r\n12\r\n", b"$2\r\n0x\r\n"] * 4))
     assert outcomes == [Outcome.OK, Outcome.TIMEOUT] * 4
 
 
-def test_silent_counter_is_connected_to_anew() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        harness.counter.delay = 30.0
-        await send_requests_until(harness, lambda: harness.counter.connections >= 2)
+@limiter_with(settings=settings_with_quota(rate=5.0, burst=4.0))
+async def test_counter_that_does_not_reply_is_connected_to_again(harness: LimiterHarness) -> None:
+    harness.counter.delay = 30.0
+    await send_requests_until(harness, lambda: harness.counter.connections >= 2)
 
-    run_scenario(scenario, settings=settings_with_quota(rate=5.0, burst=4.0))
 
+@limiter_with(settings=settings_with_quota(rate=5.0, burst=4.0))
+async def test_counter_that_was_down_is_used_again(harness: LimiterHarness) -> None:
+    harness.counter.server.close()
+    harness.counter.text = b"?rubbish\r\n"  # An invalid reply ends the connection.
+    await send_requests_until(harness, lambda: bool(harness.counter.calls))
+    await asyncio.sleep(0.3)
+    assert (await harness.send_request(http_request())).status in (200, 429)
+    harness.counter.text = None
+    await harness.counter.listen()
+    harness.counter.calls.clear()
+    await send_requests_until(harness, lambda: bool(harness.counter.calls))
 
-def test_counter_that_was_down_is_used_again() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        harness.counter.server.close()
-        harness.counter.text = b"?rubbish\r\n"  # ends the connection that there is
-        await send_requests_until(harness, lambda: bool(harness.counter.calls))
-        await asyncio.sleep(0.3)
-        assert (await harness.send_request(http_request())).status in (200, 429)
-        harness.counter.text = None
-        await harness.counter.listen()
-        harness.counter.calls.clear()
-        await send_requests_until(harness, lambda: bool(harness.counter.calls))
-
-    run_scenario(scenario, settings=settings_with_quota(rate=5.0, burst=4.0))
-
-
-def test_busy_counter_keeps_its_connection_and_requests_still_pass() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        harness.counter.text = b"-BUSY\r\n"
-        statuses = [
-            (await harness.send_request(http_request(request_id=str(index)))).status for index in range(5)
-        ]
-        assert statuses[0] == 200
-        assert harness.counter.connections == 1  # a rejection is a reply like another
-
-    run_scenario(scenario, settings=settings_with_quota(rate=5.0, burst=10.0))
-
-
-def test_requests_held_for_the_counter_end_when_nothing_answers() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        harness.discovery.up = False
-        harness.counter.delay = 5.0
-        harness.servers[0].answer = never_answer
-        requests = [
-            http_request(
-                request_id=str(index), deadline_ms=400, headers={"X-Weight": "units=1,spread=2,first=0"}
-            )
-            for index in range(10)
-        ]
-        responses = await asyncio.gather(*(harness.send_request(request) for request in requests))
-        assert {response.status for response in responses} <= {429, 503, 504}
-
-    run_scenario(scenario, settings=settings_with_quota(rate=0.5, burst=1.0))
+
+@limiter_with(settings=settings_with_quota(rate=5.0, burst=10.0))
+async def test_busy_counter_keeps_its_connection_and_requests_still_pass(harness: LimiterHarness) -> None:
+    harness.counter.text = b"-BUSY\r\n"
+    statuses = [
+        (await harness.send_request(http_request(request_id=str(index)))).status for index in range(5)
+    ]
+    assert statuses[0] == 200
+    assert harness.counter.connections == 1  # A rejection is a valid reply.
+
+
+@limiter_with(settings=settings_with_quota(rate=0.5, burst=1.0))
+async def test_requests_held_for_the_counter_end_when_nothing_answers(harness: LimiterHarness) -> None:
+    harness.discovery.up = False
+    harness.counter.delay = 5.0
+    harness.servers[0].answer = never_answer
+    requests = [
+        http_request(request_id=str(index), deadline_ms=400, headers={"X-Weight": "units=1,spread=2,first=0"})
+        for index in range(10)
+    ]
+    responses = await asyncio.gather(*(harness.send_request(request) for request in requests))
+    assert {response.status for response in responses} <= {429, 503, 504}
