--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback sockets: late, silent, overloaded, wrong or gone."""
+"""Discovery over loopback sockets: with changes, invalid lists, overload, and without responses."""
 
 from __future__ import annotations
 
@@ -10,62 +10,54 @@
 from limiter.transport.discovery.discovery_watch import DiscoveryWatch, NameNumbering, PollPacing, members
 from tests.support.client import HEALTH_CHECK, http_request
 from tests.support.fake_discovery import FakeDiscovery
-from tests.support.harness import LimiterHarness, run_scenario, wait_for_version
+from tests.support.harness import HarnessOptions, LimiterHarness, limiter_with, wait_for_version
 from tests.support.limiter_settings import settings
 from tests.support.waiting import wait_until
 
 
 async def bodies_of_requests(harness: LimiterHarness, request_count: int = 12) -> set[bytes]:
-    """Send requests, and return the bodies, which name the servers that they came from."""
+    """Send requests and return the distinct bodies of the responses, which name the servers."""
     return {
         (await harness.send_request(http_request("submit", request_id=str(index)))).body
         for index in range(request_count)
     }
 
 
-def test_draining_and_removed_servers_get_nothing_new() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        first, second, third = harness.servers
-        harness.discovery.publish(first.list_entry("leaving"), second.list_entry("left"))
-        await wait_until(lambda: len(harness.discovery.targets) > 2)
-        await wait_for_version(harness, 2)
-        assert await bodies_of_requests(harness) == {b"from s-2"}
-        harness.discovery.publish(
-            second.list_entry(), full_list=True
-        )  # servers that it does not name are gone
-        await wait_for_version(harness, 3)
-        third.received.clear()
-        assert await bodies_of_requests(harness) == {b"from s-1"}
-        assert third.received == []
-
-    run_scenario(scenario, servers=3)
-
-
-def test_server_that_moves_is_found_at_its_new_address() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        moving, other = harness.servers
-        harness.discovery.publish(moving.list_entry(), full_list=True)
-        await wait_for_version(harness, 2)
-        assert await bodies_of_requests(harness, 3) == {b"from s-0"}
-        harness.discovery.publish(moving.list_entry(hostPort=other.address))
-        await wait_for_version(harness, 3)
-        assert await bodies_of_requests(harness, 3) == {b"from s-1"}
-
-    run_scenario(scenario, servers=2)
-
-
-def test_calls_follow_on_one_connection_and_ask_for_changes() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        for _ in range(5):
-            harness.discovery.publish(harness.servers[0].list_entry())
-            await wait_for_version(harness, harness.discovery.version)
-        assert harness.discovery.connections == 1
-        assert all("since=" in target for _, target in harness.discovery.targets[1:])
-
-    run_scenario(scenario)
+@limiter_with(servers=3)
+async def test_draining_and_removed_servers_get_no_new_requests(harness: LimiterHarness) -> None:
+    first, second, third = harness.servers
+    harness.discovery.publish(first.list_entry("leaving"), second.list_entry("left"))
+    await wait_until(lambda: len(harness.discovery.targets) > 2)
+    await wait_for_version(harness, 2)
+    assert await bodies_of_requests(harness) == {b"from s-2"}
+    # A full list removes the servers that it does not name.
+    harness.discovery.publish(second.list_entry(), full_list=True)
+    await wait_for_version(harness, 3)
+    third.received.clear()
+    assert await bodies_of_requests(harness) == {b"from s-1"}
+    assert third.received == []
+
+
+@limiter_with(servers=2)
+async def test_server_that_moves_is_found_at_its_new_address(harness: LimiterHarness) -> None:
+    moving, other = harness.servers
+    harness.discovery.publish(moving.list_entry(), full_list=True)
+    await wait_for_version(harness, 2)
+    assert await bodies_of_requests(harness, 3) == {b"from s-0"}
+    harness.discovery.publish(moving.list_entry(hostPort=other.address))
+    await wait_for_version(harness, 3)
+    assert await bodies_of_requests(harness, 3) == {b"from s-1"}
+
+
+async def test_calls_follow_on_one_connection_and_ask_for_changes(harness: LimiterHarness) -> None:
+    for _ in range(5):
+        harness.discovery.publish(harness.servers[0].list_entry())
+        await wait_for_version(harness, harness.discovery.version)
+    assert harness.discovery.connections == 1
+    assert all("since=" in target for _, target in harness.discovery.targets[1:])
 
 
-def test_names_that_the_settings_do_not_have_are_distinct_and_not_remembered() -> None:
+def test_zones_that_the_settings_do_not_name_are_distinct_and_not_kept() -> None:
     names = NameNumbering(["a", "b"], ["m"])
     entry = {"instanceId": "s", "hostPort": "127.0.0.1:1", "lifecycle": "active"}
     instances = [{**entry, "zone": zone, "machineType": zone} for zone in ("a", "x", "y", "x", "b")]
@@ -89,189 +81,199 @@
     ],
     ids=["not JSON", "nested too deeply", "no address", "instances not a list", "start time too large"],
 )
-def test_after_an_invalid_list_the_last_one_stands_and_the_full_one_is_asked_for(text: bytes) -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        connections_before = harness.discovery.connections
-        harness.discovery.text = text
-        harness.discovery.publish()
-        await wait_until(lambda: harness.discovery.connections > connections_before, "another connection")
-        assert (await harness.send_request(http_request())).body == b"from s-0"
-        await wait_until(lambda: harness.discovery.targets[-1][1] == "/catalog/members", "the full list")
-        harness.discovery.text = None
-        harness.discovery.publish(harness.servers[0].list_entry(), full_list=True)
-        await wait_for_version(harness, harness.discovery.version)
-        assert (await harness.send_request(http_request())).body == b"from s-0"
-
-    run_scenario(scenario)
-
-
-def test_start_asks_for_the_changes_since_the_known_list() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        assert harness.discovery.targets[0][1] == "/catalog/members?since=1&timeout_ms=1"
-        assert (await harness.send_request(http_request())).body == b"from s-0"
-
-    run_scenario(scenario, settings=settings(discovery="on_request"))
-
-
-def test_start_asks_for_the_full_list_where_lists_are_pushed() -> None:
-    # Versions are each agent's own: changes since another agent's would leave out what came before them here.
-    async def scenario(harness: LimiterHarness) -> None:
-        listed, unlisted = harness.servers
-        known = {"generation": 1, "reset": True, "instances": [listed.list_entry(), unlisted.list_entry()]}
-        harness.discovery.version = 9
-        harness.discovery.full_list = False
-        harness.discovery.entries = [listed.list_entry()]
-        harness.process.kill()
-        await harness.process.wait()
-        await harness.restart(known=known)
-        target = harness.discovery.targets[-1][1]
-        assert target == "/catalog/members" or "since=9" in target
-        assert await bodies_of_requests(harness) == {b"from s-0"}
-        assert unlisted.received == []
-
-    run_scenario(scenario, servers=2)
-
-
-def test_overloaded_discovery_is_asked_again_for_no_more_than_the_changes() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        harness.discovery.status = 503
-        harness.discovery.publish(harness.servers[1].list_entry("leaving"))
-        calls_before = len(harness.discovery.targets)
-        await wait_until(lambda: len(harness.discovery.targets) > calls_before + 2, "more calls")
-        harness.discovery.status = 200
-        await wait_for_version(harness, 2)
-        assert all("since=" in target for _, target in harness.discovery.targets)
-        assert await bodies_of_requests(harness) == {b"from s-0"}
-
-    run_scenario(scenario, servers=2, settings=settings(discovery="on_request"))
-
-
-def test_watch_calls_an_overloaded_discovery_again_only_after_call() -> None:
-    # When the policy does so is in test_discovery_backoff.py. Before, one of 200 came back after 5 to 45 s.
-    failures: list[bool] = []
-    changes: list[tuple[int, bool, bool]] = []
-
-    async def main() -> None:
-        discovery = FakeDiscovery()
-        await discovery.listen()
-        discovery.status = 503
-        watch = DiscoveryWatch(
+async def test_after_an_invalid_list_the_last_one_stands_and_the_full_one_is_asked_for(
+    harness: LimiterHarness, text: bytes
+) -> None:
+    connections_before = harness.discovery.connections
+    harness.discovery.text = text
+    harness.discovery.publish()
+    await wait_until(lambda: harness.discovery.connections > connections_before, "another connection")
+    assert (await harness.send_request(http_request())).body == b"from s-0"
+    await wait_until(lambda: harness.discovery.targets[-1].target == "/catalog/members", "the full list")
+    harness.discovery.text = None
+    harness.discovery.publish(harness.servers[0].list_entry(), full_list=True)
+    await wait_for_version(harness, harness.discovery.version)
+    assert (await harness.send_request(http_request())).body == b"from s-0"
+
+
+@limiter_with(settings=settings(discovery="on_request"))
+async def test_start_asks_for_the_changes_since_the_known_list(harness: LimiterHarness) -> None:
+    assert harness.discovery.targets[0].target == "/catalog/members?since=1&timeout_ms=1"
+    assert (await harness.send_request(http_request())).body == b"from s-0"
+
+
+@limiter_with(servers=2)
+async def test_start_asks_for_the_full_list_where_lists_are_pushed(harness: LimiterHarness) -> None:
+    """Each agent numbers its lists on its own: changes since another agent's version would miss some."""
+    listed, unlisted = harness.servers
+    known = {"generation": 1, "reset": True, "instances": [listed.list_entry(), unlisted.list_entry()]}
+    harness.discovery.version = 9
+    harness.discovery.full_list = False
+    harness.discovery.entries = [listed.list_entry()]
+    harness.process.kill()
+    await harness.process.wait()
+    await harness.restart(known=known)
+    target = harness.discovery.targets[-1].target
+    assert target == "/catalog/members" or "since=9" in target
+    assert await bodies_of_requests(harness) == {b"from s-0"}
+    assert unlisted.received == []
+
+
+@limiter_with(servers=2, settings=settings(discovery="on_request"))
+async def test_overloaded_discovery_is_asked_again_for_no_more_than_the_changes(
+    harness: LimiterHarness,
+) -> None:
+    harness.discovery.status = 503
+    harness.discovery.publish(harness.servers[1].list_entry("leaving"))
+    calls_before = len(harness.discovery.targets)
+    await wait_until(lambda: len(harness.discovery.targets) > calls_before + 2, "more calls")
+    harness.discovery.status = 200
+    await wait_for_version(harness, 2)
+    assert all("since=" in target for _, target in harness.discovery.targets)
+    assert await bodies_of_requests(harness) == {b"from s-0"}
+
+
+class RecordedWatch:
+    """A discovery watch of one of 200 limiters that share an agent, and what it reports.
+
+    Attributes:
+        changes: for each list, the number of its entries, whether it is full, and whether it is a known one.
+        failures: for each failed call, whether the agent rejected it.
+    """
+
+    def __init__(self, discovery: FakeDiscovery) -> None:
+        """Make a watch of the agent; it must run in an event loop, and calls nobody before it is started."""
+        self.discovery = discovery
+        self.changes: list[tuple[int, bool, bool]] = []
+        self.failures: list[bool] = []
+        self.watch = DiscoveryWatch(
             asyncio.get_running_loop(),
             ("127.0.0.1", discovery.port),
             NameNumbering([], []),
             250.0,
             PollPacing.of(200, pushed=False),
-            lambda entries, is_full, is_cached: changes.append((len(entries), is_full, is_cached)),
-            failures.append,
+            lambda entries, is_full, is_known: self.changes.append((len(entries), is_full, is_known)),
+            self.failures.append,
         )
 
-        async def wait_for_failure(number: int) -> None:
-            await wait_until(lambda: len(failures) == number, "a failed call")
-            assert len(discovery.targets) == number  # none without `call`
-            assert not watch.poll_allowed.is_set()
-
-        watch.start()
-        await wait_for_failure(1)
-        watch.call()
-        await wait_for_failure(2)
-        discovery.status = 200
-        watch.call()
-        await wait_until(lambda: changes)
-        watch.close()
-        discovery.server.close()
-
-    asyncio.run(main())
-    assert failures[:2] == [True, True]
-    assert changes[0] == (0, True, False)
-
-
-def test_one_of_many_limiters_hears_within_six_seconds_after_an_overload() -> None:
-    # Seen with 200 limiters, each call rejected for 3 s: the second call came 24 s after that.
-    async def scenario(harness: LimiterHarness) -> None:
-        await wait_until(lambda: harness.discovery.answered)
-        harness.discovery.status = 503
-        harness.discovery.publish(harness.servers[1].list_entry("leaving"))
-        answered_before = len(harness.discovery.answered)
-        await wait_until(lambda: len(harness.discovery.answered) > answered_before, "a rejected call")
-        harness.discovery.status = 200
-        began = time.monotonic()
-        await wait_for_version(harness, 2)
-        assert time.monotonic() - began < 6.0
-        assert await bodies_of_requests(harness) == {b"from s-0"}
-
-    run_scenario(scenario, servers=2, settings=settings(discovery="on_request", peersTotal=200))
-
-
-def test_lower_version_leads_to_the_full_list() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        harness.discovery.version = 0
-        harness.discovery.full_list = False
-        harness.discovery.wake = True  # the call in progress ends with the version that there is now
-        await wait_for_version(harness, 0)
-        assert any(target == "/catalog/members" for _, target in harness.discovery.targets)
-
-    run_scenario(scenario)
+    async def wait_for_failure(self, number: int) -> None:
+        """Wait for the failure with this number, from 1, and check that the watch does not call by itself."""
+        await wait_until(lambda: len(self.failures) == number, "a failed call")
+        assert len(self.discovery.targets) == number
+        assert not self.watch.poll_allowed.is_set()
+
+
+async def test_watch_calls_an_overloaded_discovery_again_only_after_call() -> None:
+    """When the policy lets it call again is in test_discovery_backoff.py.
+
+    Before that, one of 200 limiters called again only after 5 to 45 s.
+    """
+    discovery = FakeDiscovery()
+    await discovery.listen()
+    discovery.status = 503
+    recorded = RecordedWatch(discovery)
+    recorded.watch.start()
+    await recorded.wait_for_failure(1)
+    recorded.watch.call()
+    await recorded.wait_for_failure(2)
+    discovery.status = 200
+    recorded.watch.call()
+    await wait_until(lambda: recorded.changes)
+    recorded.watch.close()
+    discovery.server.close()
+    assert recorded.failures[:2] == [True, True]
+    assert recorded.changes[0] == (0, True, False)
+
+
+@limiter_with(servers=2, settings=settings(discovery="on_request", peersTotal=200))
+async def test_one_of_many_limiters_reads_the_changes_within_six_seconds_after_an_overload(
+    harness: LimiterHarness,
+) -> None:
+    """In a trial with 200 limiters whose calls were rejected for 3 s, the next call came 24 s later."""
+    await wait_until(lambda: harness.discovery.answered)
+    harness.discovery.status = 503
+    harness.discovery.publish(harness.servers[1].list_entry("leaving"))
+    answered_before = len(harness.discovery.answered)
+    await wait_until(lambda: len(harness.discovery.answered) > answered_before, "a rejected call")
+    harness.discovery.status = 200
+    began = time.monotonic()
+    await wait_for_version(harness, 2)
+    assert time.monotonic() - began < 6.0
+    assert await bodies_of_requests(harness) == {b"from s-0"}
+
+
+async def test_lower_version_leads_to_the_full_list(harness: LimiterHarness) -> None:
+    harness.discovery.version = 0
+    harness.discovery.full_list = False
+    harness.discovery.wake = True  # The agent responds to the open watch with its present version.
+    await wait_for_version(harness, 0)
+    assert any(target == "/catalog/members" for _, target in harness.discovery.targets)
 
 
 def test_calls_to_a_shared_discovery_wait_longer_the_more_limiters_there_are() -> None:
     pacings = [PollPacing.of(limiters, pushed=False) for limiters in (1, 4, 40, 400)]
     assert [pacing.wait for pacing in pacings] == [4000, 4000, 10000, 20000]
-    assert {pacing.grace_seconds for pacing in pacings} == {1.5}  # after 2 s a change counts as known
+    # A limiter is expected to know a change after 2 s.
+    assert {pacing.grace_seconds for pacing in pacings} == {1.5}
 
 
 @pytest.mark.parametrize("limiters", [1, 200])
-def test_silence_of_an_agent_that_pushes_is_noticed_before_sends_have_to_stop(limiters: int) -> None:
+def test_agent_that_stops_responding_is_noticed_before_requests_have_to_stop(limiters: int) -> None:
     pacing = PollPacing.of(limiters, pushed=True)
     assert pacing.grace_seconds + 1.2 * pacing.max_backoff_seconds < 0.25
-    assert pacing.wait / 1000 + pacing.grace_seconds < 6.0  # of an agent that falls silent during a call
-
-
-@pytest.mark.parametrize("discovery", ["pushed", "on_request"])
-def test_silent_discovery_is_asked_in_short_calls_for_what_it_knows_already(discovery: str) -> None:
-    # Seen with one call for the whole silence: what came at its end was missed for as long as that waited.
-    async def scenario(harness: LimiterHarness) -> None:
-        await wait_until(lambda: harness.discovery.answered)
-        harness.discovery.up = False
-        harness.discovery.publish(harness.servers[1].list_entry("leaving"))
-        connections_before = harness.discovery.connections
-        await wait_until(lambda: harness.discovery.connections > connections_before + 2, "more calls")
-        for _, target in harness.discovery.targets[-2:]:
-            assert target.endswith("timeout_ms=1")
-        harness.discovery.up = True
-        await wait_for_version(harness, 2)
-        assert await bodies_of_requests(harness) == {b"from s-0"}
-
-    run_scenario(scenario, servers=2, settings=settings(discovery=discovery))
-
-
-def test_silent_discovery_is_connected_to_anew_and_its_changes_are_applied() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        harness.discovery.up = False
-        connections_before = harness.discovery.connections
-        await wait_until(lambda: harness.discovery.connections > connections_before, "a new connection")
-        harness.discovery.up = True
-        harness.discovery.publish(harness.servers[1].list_entry("leaving"))
-        await wait_for_version(harness, 2)
-        assert await bodies_of_requests(harness) == {b"from s-0"}
-
-    run_scenario(scenario, servers=2)
-
-
-def test_limiter_is_ready_only_once_a_server_is_known() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        assert (await harness.send_request(HEALTH_CHECK)).status == 503
-        harness.discovery.publish(harness.servers[0].list_entry())
-        await harness.wait_ready()
-        assert (await harness.send_request(http_request())).status == 200
-
-    removed = {"instanceId": "s-9", "hostPort": "127.0.0.1:9", "lifecycle": "left"}
-    run_scenario(scenario, wait_ready=False, entries=[removed])
-
+    # This is for an agent that stops to respond during a call.
+    assert pacing.wait / 1000 + pacing.grace_seconds < 6.0
 
-def test_known_list_serves_while_discovery_is_silent() -> None:
-    async def scenario(harness: LimiterHarness) -> None:
-        await harness.wait_ready()
-        assert (await harness.send_request(http_request())).body == b"from s-0"
-        assert harness.discovery.answered == []
 
-    run_scenario(scenario, wait_ready=False, discovery_up=False)
+@pytest.mark.parametrize(
+    "harness_options",
+    [
+        pytest.param(HarnessOptions(servers=2, settings=settings(discovery="pushed")), id="pushed"),
+        pytest.param(HarnessOptions(servers=2, settings=settings(discovery="on_request")), id="on_request"),
+    ],
+)
+async def test_discovery_that_does_not_respond_is_asked_in_short_calls(
+    harness: LimiterHarness,
+) -> None:
+    """With one long call, a change was missed for as long as that call waited."""
+    await wait_until(lambda: harness.discovery.answered)
+    harness.discovery.up = False
+    harness.discovery.publish(harness.servers[1].list_entry("leaving"))
+    connections_before = harness.discovery.connections
+    await wait_until(lambda: harness.discovery.connections > connections_before + 2, "more calls")
+    for _, target in harness.discovery.targets[-2:]:
+        assert target.endswith("timeout_ms=1")
+    harness.discovery.up = True
+    await wait_for_version(harness, 2)
+    assert await bodies_of_requests(harness) == {b"from s-0"}
+
+
+@limiter_with(servers=2)
+async def test_discovery_that_does_not_respond_is_connected_to_again_and_its_changes_are_applied(
+    harness: LimiterHarness,
+) -> None:
+    harness.discovery.up = False
+    connections_before = harness.discovery.connections
+    await wait_until(lambda: harness.discovery.connections > connections_before, "a new connection")
+    harness.discovery.up = True
+    harness.discovery.publish(harness.servers[1].list_entry("leaving"))
+    await wait_for_version(harness, 2)
+    assert await bodies_of_requests(harness) == {b"from s-0"}
+
+
+REMOVED_SERVER = {"instanceId": "s-9", "hostPort": "127.0.0.1:9", "lifecycle": "left"}
+
+
+@limiter_with(wait_ready=False, entries=[REMOVED_SERVER])
+async def test_limiter_is_ready_only_once_a_server_is_known(harness: LimiterHarness) -> None:
+    assert (await harness.send_request(HEALTH_CHECK)).status == 503
+    harness.discovery.publish(harness.servers[0].list_entry())
+    await harness.wait_ready()
+    assert (await harness.send_request(http_request())).status == 200
+
+
+@limiter_with(wait_ready=False, discovery_up=False)
+async def test_known_list_is_used_while_discovery_does_not_respond(harness: LimiterHarness) -> None:
+    await harness.wait_ready()
+    assert (await harness.send_request(http_request())).body == b"from s-0"
+    assert harness.discovery.answered == []
