--- a/tests/transport/test_restart_together.py
+++ b/tests/transport/test_restart_together.py
@@ -3,8 +3,11 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import socket
 import time
+from collections.abc import AsyncIterator
+from enum import StrEnum
 from pathlib import Path
 from typing import Any
 
@@ -14,90 +17,123 @@
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer, SlowAcceptServer
-from tests.support.harness import LimiterHarness
+from tests.support.harness import DEFAULT_SOCKETS, LimiterHarness
 from tests.support.limiter_settings import settings_with_quota
 
-READY_SECONDS = 10.0
+LIMITER_COUNT = 5
+READY_SECONDS = 10.0  # A limiter must be ready so soon after its start, or after discovery's first response.
 
 
-def refusing_peer() -> FakeDiscovery:
-    """A peer with an address at which nobody listens."""
-    peer = FakeDiscovery()
+class DiscoveryState(StrEnum):
+    """What the limiters find in place of a working discovery agent."""
+
+    NOT_RESPONDING = "not responding"
+    OVERLOADED = "overloaded"
+    REFUSING = "refusing connections"
+    FULL_BACKLOG = "full backlog"
+
+
+def unused_port() -> int:
+    """Return a port of loopback at which nobody listens."""
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
-        peer.port = free.getsockname()[1]
-    return peer
+        return int(free.getsockname()[1])
+
+
+class SharedPeers:
+    """The one server, the discovery agent and the counter that all limiters share.
+
+    With `REFUSING` and `FULL_BACKLOG` the counter cannot be reached either.
+    """
+
+    def __init__(self, state: DiscoveryState) -> None:
+        """Make the peers, which do not listen yet."""
+        self.state = state
+        self.server = FakeServer("s-0")
+        self.discovery = FakeDiscovery()
+        self.counter = FakeCounter()
+        self.full = SlowAcceptServer("full")
+        self.discovery.up = state is not DiscoveryState.NOT_RESPONDING
+        self.discovery.status = 503
+
+    async def listen(self) -> None:
+        """Accept connections, but for those that the discovery state rules out."""
+        for peer in (self.server, self.counter, self.discovery, self.full):
+            await peer.listen()
+        if self.state is DiscoveryState.REFUSING:
+            self.discovery.port = unused_port()
+            self.counter.port = unused_port()
+        elif self.state is DiscoveryState.FULL_BACKLOG:
+            self.discovery.port = self.full.port
+            self.counter.port = self.full.port
+        self.discovery.entries = [self.server.list_entry()]
+
+    def known_list(self) -> dict[str, Any]:
+        """Return the list with the server, for a limiter's configuration."""
+        return {"generation": 1, "reset": True, "instances": self.discovery.entries}
 
+    def recover(self) -> None:
+        """Let discovery respond with its list from now on."""
+        self.discovery.up = True
+        self.discovery.status = 200
 
-async def start_together(
-    folder: Path, count: int, discovery: FakeDiscovery, **changes: Any
-) -> list[LimiterHarness]:
-    """Start limiters at once, every other one with a pushed list; return once all of them listen."""
-    limiters = [LimiterHarness(folder / f"{index}", 0) for index in range(count)]
+
+@contextlib.asynccontextmanager
+async def limiters_started_together(
+    folder: Path, peers: SharedPeers, known_list: dict[str, Any] | None
+) -> AsyncIterator[list[LimiterHarness]]:
+    """Run limiters that start at once, every other one with a pushed list; all of them listen already."""
+    limiters = [LimiterHarness(folder / f"{index}", 0) for index in range(LIMITER_COUNT)]
     for index, limiter in enumerate(limiters):
         limiter.folder.mkdir()
-        limiter.discovery = discovery
+        limiter.discovery = peers.discovery
         with_quota = settings_with_quota(rate=1.0, burst=5.0)
         with_quota["discovery"] = "pushed" if index % 2 else "on_request"
-        limiter.config = {"listen": "127.0.0.1:0", "seed": f"{index}", "settings": with_quota, **changes}
-    await asyncio.gather(*(limiter.launch(1024) for limiter in limiters))
-    return limiters
-
-
-@pytest.mark.parametrize(
-    ("discovery_state", "has_known_list"),
-    [
-        ("silent", True),
-        ("busy", True),
-        ("refusing", True),
-        ("full", True),
-        ("silent", False),
-        ("busy", False),
-    ],
-)
-def test_limiters_that_restart_together_are_ready_in_time(
-    discovery_state: str, has_known_list: bool, tmp_path: Path
+        limiter.config = {
+            "listen": "127.0.0.1:0",
+            "seed": f"{index}",
+            "settings": with_quota,
+            "known": known_list,
+            "counter": peers.counter.address,
+        }
+    await asyncio.gather(*(limiter.launch(DEFAULT_SOCKETS) for limiter in limiters))
+    try:
+        yield limiters
+    finally:
+        for limiter in limiters:
+            await limiter.kill()
+
+
+async def check_ready_in_time(limiters: list[LimiterHarness], started: float) -> None:
+    """Check that all limiters are healthy soon after that time, and that each then serves a request."""
+    await asyncio.gather(*(limiter.wait_ready() for limiter in limiters))
+    assert time.monotonic() - started < READY_SECONDS
+    responses = await asyncio.gather(
+        *(limiter.send_request(http_request(request_id=f"{index}")) for index, limiter in enumerate(limiters))
+    )
+    assert {(response.status, response.body) for response in responses} == {(200, b"from s-0")}
+
+
+@pytest.mark.parametrize("state", DiscoveryState)
+async def test_limiters_with_a_known_list_that_restart_together_are_ready_in_time(
+    state: DiscoveryState, tmp_path: Path
 ) -> None:
-    """Whatever discovery and the counter do, as far as the known list allows."""
-
-    async def main() -> None:
-        server, discovery, counter = FakeServer("s-0"), FakeDiscovery(), FakeCounter()
-        full = SlowAcceptServer("full")
-        discovery.up = discovery_state != "silent"
-        discovery.status = 503
-        for peer in (server, counter, discovery, full):
-            await peer.listen()
-        agent = discovery
-        if discovery_state == "refusing":
-            agent = refusing_peer()
-            counter.port = refusing_peer().port
-        elif discovery_state == "full":
-            discovery.port = counter.port = full.port  # where no connection comes up
-        discovery.entries = [server.list_entry()]
-        known = {"generation": 1, "reset": True, "instances": discovery.entries}
-        started = time.monotonic()
-        limiters = await start_together(
-            tmp_path, 5, agent, known=known if has_known_list else None, counter=counter.address
-        )
-        try:
-            if not has_known_list:  # then none can be ready before discovery answers
-                assert {(await limiter.send_request(HEALTH_CHECK)).status for limiter in limiters} == {503}
-                discovery.up = True
-                discovery.status = 200
-                started = time.monotonic()
-            await asyncio.gather(*(limiter.wait_ready() for limiter in limiters))
-            assert time.monotonic() - started < READY_SECONDS
-            responses = await asyncio.gather(
-                *(
-                    limiter.send_request(http_request(request_id=f"{index}"))
-                    for index, limiter in enumerate(limiters)
-                )
-            )
-            assert {(response.status, response.body) for response in responses} == {(200, b"from s-0")}
-        finally:
-            for limiter in limiters:
-                limiter.process.kill()
-                await limiter.process.wait()
-                limiter.reading.cancel()
-
-    asyncio.run(main())
+    """They serve by the known list, whatever discovery and the counter do."""
+    peers = SharedPeers(state)
+    await peers.listen()
+    started = time.monotonic()
+    async with limiters_started_together(tmp_path, peers, peers.known_list()) as limiters:
+        await check_ready_in_time(limiters, started)
+
+
+@pytest.mark.parametrize("state", [DiscoveryState.NOT_RESPONDING, DiscoveryState.OVERLOADED])
+async def test_limiters_without_a_known_list_are_ready_soon_after_discovery_recovers(
+    state: DiscoveryState, tmp_path: Path
+) -> None:
+    """Before that, they know no server and report that they are not healthy."""
+    peers = SharedPeers(state)
+    await peers.listen()
+    async with limiters_started_together(tmp_path, peers, known_list=None) as limiters:
+        assert {(await limiter.send_request(HEALTH_CHECK)).status for limiter in limiters} == {503}
+        peers.recover()
+        await check_ready_in_time(limiters, time.monotonic())
