--- a/tests/support/in_process_limiter.py
+++ b/tests/support/in_process_limiter.py
@@ -13,7 +13,7 @@
 from limiter.transport.clients.listener import Listener
 from limiter.transport.clock import Clock
 from limiter.transport.driver.proxy import Proxy
-from tests.support.client import Connection, http_request
+from tests.support.client import Connection, Response, http_request
 from tests.support.fake_server import Answer, FakeServer, ReceivedRequest
 from tests.support.harness import LimiterHarness, wait_for_version
 from tests.support.limiter_settings import settings
@@ -66,8 +66,13 @@
         """Write to the kernel."""
         self.socket.sendall(data)
 
-    async def response(self) -> tuple[int, bytes]:
-        """Status and body; IncompleteReadError or ConnectionResetError where the limiter closes without."""
+    async def response(self) -> Response:
+        """Return the next response.
+
+        Raises:
+            asyncio.IncompleteReadError: the limiter closed the connection before the response's end.
+            ConnectionResetError: the limiter reset the connection.
+        """
         reader = asyncio.StreamReader()
         reading = asyncio.create_task(Connection(reader, None).response())  # type: ignore[arg-type]
         loop = asyncio.get_running_loop()
@@ -78,8 +83,7 @@
                 reader.feed_eof()
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-        response = await reading
-        return response.status, response.body
+        return await reading
 
 
 class HeldResponses:
--- a/tests/transport/test_paused_process.py
+++ b/tests/transport/test_paused_process.py
@@ -176,7 +176,7 @@
         leaving.send(http_request("order", request_id="disconnected"))
         await wait_until(lambda: proxy.pool.connections, "the connection is up")
         staying.send(http_request("order", request_id="mark"))
-        assert (await staying.response())[0] == 200
+        assert (await staying.response()).status == 200
         assert request_ids(server.received) == ["mark"]
         assert not proxy.requests.by_number
         assert not proxy.requests.client_request_ids
--- a/tests/transport/test_server_pool.py
+++ b/tests/transport/test_server_pool.py
@@ -5,7 +5,6 @@
 import asyncio
 import errno
 from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
 
 import pytest
 
@@ -22,13 +21,18 @@
 
 
 class PoolDriver:
-    """Sends attempts to one server by a pool, and records how they end."""
+    """Sends attempts to one server through a pool, and records how they end.
+
+    Attributes:
+        ended: for each attempt that has ended, its outcome and whether its connection was stale.
+        sent: number of attempts so far.
+    """
 
     def __init__(self, pool: ServerPool, server: FakeServer) -> None:
-        """Drive a pool that knows the server."""
+        """Take a pool that knows the server."""
         self.pool = pool
         self.server = server
-        self.ended: list[tuple[Outcome, bool]] = []  # outcome, and whether the connection was stale
+        self.ended: list[tuple[Outcome, bool]] = []
         self.sent = 0
 
     def send(self) -> None:
@@ -46,8 +50,8 @@
         self.ended.append((outcome, attempt.stale))
 
 
-@asynccontextmanager
-async def pool_driver() -> AsyncIterator[PoolDriver]:
+@pytest.fixture
+async def driver() -> AsyncIterator[PoolDriver]:
     """Run a pool and the one server that it knows."""
     server = FakeServer("s")
     await server.listen()
@@ -65,39 +69,33 @@
     [(errno.EMFILE, True), (errno.ECONNREFUSED, False)],
     ids=["out of descriptors here", "refused by the server"],
 )
-def test_idle_connections_are_closed_after_a_failed_dial_unless_its_cause_is_local(
-    cause: int, is_kept: bool, monkeypatch: pytest.MonkeyPatch
+async def test_idle_connections_are_closed_after_a_failed_dial_unless_its_cause_is_local(
+    cause: int, is_kept: bool, driver: PoolDriver, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A local cause, such as a lack of descriptors, says nothing about the server."""
+
     async def fail_to_connect(*_: object) -> None:
         raise OSError(cause, "no connection")
 
-    async def main() -> None:
-        async with pool_driver() as driver:
-            driver.send()
-            await wait_until(lambda: driver.pool.idle)
-            # The idle connection is not reused, so another must be opened.
-            monkeypatch.setattr(server_pool_module, "SETTLE_SECONDS", 1000.0)
-            monkeypatch.setattr(driver.pool.loop, "create_connection", fail_to_connect)
-            driver.send()
-            await driver.wait_for_end()
-            assert [outcome for outcome, _ in driver.ended] == [Outcome.OK, Outcome.CONNECT_FAILED]
-            assert bool(driver.pool.idle) == is_kept
-
-    asyncio.run(main())
-
+    driver.send()
+    await wait_until(lambda: driver.pool.idle)
+    # With this the idle connection is not reused, so that another one must be opened.
+    monkeypatch.setattr(server_pool_module, "SETTLE_SECONDS", 1000.0)
+    monkeypatch.setattr(driver.pool.loop, "create_connection", fail_to_connect)
+    driver.send()
+    await driver.wait_for_end()
+    assert [outcome for outcome, _ in driver.ended] == [Outcome.OK, Outcome.CONNECT_FAILED]
+    assert bool(driver.pool.idle) == is_kept
 
-def test_reset_of_a_reused_connection_before_any_response_is_stale() -> None:
-    async def main() -> list[tuple[Outcome, bool]]:
-        async with pool_driver() as driver:
-            # On a new connection, on that one reused, and on a new one again.
-            for answer in (respond_with(200), reset_connection, reset_connection):
-                driver.server.answer = answer
-                driver.send()
-                await driver.wait_for_end()
-                await asyncio.sleep(2 * SETTLE_SECONDS)
-            return driver.ended
 
-    assert asyncio.run(main()) == [(Outcome.OK, False), (Outcome.RESET, True), (Outcome.RESET, False)]
+async def test_reset_of_a_reused_connection_before_any_response_is_stale(driver: PoolDriver) -> None:
+    """The three attempts are sent on a new connection, on the same one, and on a new one again."""
+    for answer in (respond_with(200), reset_connection, reset_connection):
+        driver.server.answer = answer
+        driver.send()
+        await driver.wait_for_end()
+        await asyncio.sleep(2 * SETTLE_SECONDS)
+    assert driver.ended == [(Outcome.OK, False), (Outcome.RESET, True), (Outcome.RESET, False)]
 
 
 def test_idle_age_that_is_often_reset_is_not_reused_for_a_while() -> None:
@@ -105,9 +103,9 @@
     for _ in range(40):
         history.record(0.3, True)
         history.record(0.02, False)
-    assert history.permits_reuse(0.02)  # younger ones do no worse
+    assert history.permits_reuse(0.02)  # At this idle age no connection was reset.
     assert not history.permits_reuse(0.3)
-    assert any(history.permits_reuse(0.3) for _ in range(200))  # tried again in the end
+    assert any(history.permits_reuse(0.3) for _ in range(200))  # It is tried again after a while.
 
 
 def test_resets_at_any_idle_age_do_not_prevent_reuse() -> None:
@@ -115,4 +113,4 @@
     for _ in range(40):
         history.record(0.3, True)
         history.record(0.02, True)
-    assert history.permits_reuse(0.3)  # being idle is not the cause
+    assert history.permits_reuse(0.3)  # The idle time is not the cause, as all ages are reset alike.
--- a/tests/transport/test_startup.py
+++ b/tests/transport/test_startup.py
@@ -10,7 +10,7 @@
 import pytest
 
 from limiter import __main__
-from limiter.configuration.config import parse
+from limiter.configuration.config import Config, parse
 from tests.support.client import Connection, Response, http_request
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer
@@ -19,7 +19,7 @@
 
 
 def free_port() -> int:
-    """A port that nobody listens on."""
+    """Return a port of loopback that nobody listens on."""
     with socket.socket() as unused:
         unused.bind(("127.0.0.1", 0))
         return int(unused.getsockname()[1])
@@ -31,7 +31,7 @@
         try:
             client = Connection(*await asyncio.open_connection("127.0.0.1", port))
             break
-        except ConnectionRefusedError:  # it has not read discovery's answer yet
+        except ConnectionRefusedError:  # The limiter has not read discovery's response yet.
             await asyncio.sleep(0.01)
     client.send(data)
     try:
@@ -40,35 +40,38 @@
         client.close()
 
 
-def test_listening_waits_for_what_changed_since_the_known_list(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """No request goes to a server that drained while the limiter did not run."""
-    monkeypatch.setattr(__main__, "DISCOVERY_WAIT_SECONDS", 10 * PATIENCE_SECONDS)
+def configuration_between(listen_port: int, discovery: FakeDiscovery, known: list[FakeServer]) -> Config:
+    """Return the configuration of a limiter with this port, discovery and list of known servers."""
+    instances = [server.list_entry() for server in known]
+    document = configuration(
+        listen=f"127.0.0.1:{listen_port}",
+        discovery=discovery.address,
+        seed="1",
+        known={"generation": 1, "reset": True, "instances": instances},
+    )
+    return parse(document)
 
-    async def main() -> None:
-        draining = FakeServer("s-0")
-        ready = FakeServer("s-1")
-        discovery = FakeDiscovery()
-        for peer in (draining, ready, discovery):
-            await peer.listen()
-        known = {"generation": 1, "reset": True, "instances": [draining.list_entry(), ready.list_entry()]}
-        discovery.up = False  # it is polled, and holds its answer back
-        discovery.publish(draining.list_entry("leaving"), ready.list_entry(), full_list=True)
-        port = free_port()
-        listen = f"127.0.0.1:{port}"
-        document = configuration(listen=listen, discovery=discovery.address, seed="1", known=known)
-        limiter = asyncio.create_task(__main__.run(parse(document)))
-        await wait_until(lambda: discovery.targets, "discovery is polled")
-        with pytest.raises(ConnectionRefusedError):
-            await asyncio.open_connection("127.0.0.1", port)
-        discovery.up = True
-        await wait_until(lambda: discovery.answered, "discovery has answered")
-        for number in range(6):
-            response = await send_once_listening(port, http_request("order", request_id=str(number)))
-            assert response.body == b"from s-1"
-        assert draining.received == []
-        os.kill(os.getpid(), signal.SIGTERM)
-        await limiter
 
-    asyncio.run(main())
+async def test_listening_waits_for_what_changed_since_the_known_list(monkeypatch: pytest.MonkeyPatch) -> None:
+    """No request goes to a server that drained while the limiter did not run."""
+    monkeypatch.setattr(__main__, "DISCOVERY_WAIT_SECONDS", 10 * PATIENCE_SECONDS)
+    draining = FakeServer("s-0")
+    ready = FakeServer("s-1")
+    discovery = FakeDiscovery()
+    for peer in (draining, ready, discovery):
+        await peer.listen()
+    discovery.up = False  # It accepts the limiter's call and holds its response back.
+    discovery.publish(draining.list_entry("leaving"), ready.list_entry(), full_list=True)
+    port = free_port()
+    limiter = asyncio.create_task(__main__.run(configuration_between(port, discovery, [draining, ready])))
+    await wait_until(lambda: discovery.targets, "discovery is polled")
+    with pytest.raises(ConnectionRefusedError):
+        await asyncio.open_connection("127.0.0.1", port)
+    discovery.up = True
+    await wait_until(lambda: discovery.answered, "discovery has responded")
+    for number in range(6):
+        response = await send_once_listening(port, http_request("order", request_id=str(number)))
+        assert response.body == b"from s-1"
+    assert draining.received == []
+    os.kill(os.getpid(), signal.SIGTERM)
+    await limiter
