--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -12,7 +12,7 @@
 import sys
 import tempfile
 import time
-from collections.abc import AsyncIterator, Callable, Coroutine
+from collections.abc import AsyncIterator
 from pathlib import Path
 from typing import Any, TypedDict, Unpack, cast
 
@@ -216,18 +216,6 @@
     return cast("HarnessOptions", mark.kwargs if mark else {})
 
 
-def run_scenario(
-    scenario: Callable[[LimiterHarness], Coroutine[Any, Any, None]], **options: Unpack[HarnessOptions]
-) -> None:
-    """Run a test's scenario against a limiter process of its own."""
-
-    async def main() -> None:
-        async with running_limiter(**options) as harness, asyncio.timeout(3 * PATIENCE_SECONDS):
-            await scenario(harness)
-
-    asyncio.run(main())
-
-
 async def wait_for_version(harness: LimiterHarness, version: int) -> None:
     """Wait until the limiter asks for changes since that version, and so has applied it."""
     await wait_until(
