--- a/limiter/__main__.py
+++ b/limiter/__main__.py
@@ -19,7 +19,8 @@
 from limiter.model.settings import Settings
 from limiter.transport.clients.listener import Listener
 from limiter.transport.clock import Clock
-from limiter.transport.discovery.discovery_watch import DiscoveryWatch, NameNumbering, PollPacing
+from limiter.transport.discovery.discovery_watch import DiscoveryWatch, PollPacing
+from limiter.transport.discovery.endpoint_list import NameNumbering
 from limiter.transport.driver.proxy import Proxy
 
 # At start discovery is waited for so long; after that the list of the configuration has to do.
@@ -73,8 +74,8 @@
         proxy.servers_changed,
         proxy.discovery_failed,
     )
-    proxy.poll_discovery = discovery.call
-    discovery.known(config.known_endpoints)
+    proxy.poll_discovery = discovery.allow_next_poll
+    discovery.set_known_endpoints(config.known_endpoints)
     return discovery
 
 
@@ -93,9 +94,9 @@
     except ConfigError as error:  # a file half written or with an error must not stop the service
         _log_rejected(error)
         return
-    discovery.move(config.discovery)
+    discovery.change_address(config.discovery)
     if proxy.counter is not None and config.counter is not None:
-        proxy.counter.move(config.counter)
+        proxy.counter.change_address(config.counter)
     log.info(
         "configuration_reloaded discovery=%s counter=%s",
         _endpoint(config.discovery),
--- a/limiter/transport/counter/counter_client.py
+++ b/limiter/transport/counter/counter_client.py
@@ -134,7 +134,7 @@
         self._transport = None
         self.closed.set()
         while self.unanswered:
-            self._client.end(self.unanswered.popleft(), Outcome.TIMEOUT)
+            self._client.finish_call(self.unanswered.popleft(), Outcome.TIMEOUT)
 
     def abort(self) -> None:
         """Close without waiting for replies."""
@@ -147,7 +147,7 @@
         if not self.unanswered:
             self.abort()
 
-    def check(self) -> None:
+    def check_liveness(self) -> None:
         """Close a connection that has fallen silent; keep an idle one from being closed by the counter."""
         now = time.monotonic()
         if self.unanswered:
@@ -176,7 +176,7 @@
         self.last_received = time.monotonic()
         self.has_replied = True
         self.unanswered.popleft()
-        self._client.end(call, outcome, total)
+        self._client.finish_call(call, outcome, total)
         if self.is_retired and not self.unanswered:
             self.abort()
 
@@ -211,7 +211,7 @@
         self.expiry_timer: asyncio.TimerHandle | None = None
         self.task = loop.create_task(self._run())
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Send new calls to another address; replies that are owed at the old one are still read."""
         if address == self.address:
             return
@@ -238,17 +238,17 @@
         call = PendingCall(name)
         connection = self.connection
         if connection is None or not connection.is_open:
-            self.loop.call_soon(self.end, call, Outcome.CONNECT_FAILED)
+            self.loop.call_soon(self.finish_call, call, Outcome.CONNECT_FAILED)
             return
         if len(connection.unanswered) >= MAX_UNANSWERED_CALLS:
-            self.loop.call_soon(self.end, call, Outcome.REJECTED)
+            self.loop.call_soon(self.finish_call, call, Outcome.REJECTED)
             return
         connection.write(call, "CNT.ADD", str(name), f"{amount:.6f}", str(max(1, round(time_to_live_ms))))
         self.unexpired.append(call)
         if self.expiry_timer is None:
             self.expiry_timer = self.loop.call_later(self.timeout, self._expire)
 
-    def end(self, call: PendingCall, outcome: Outcome, total: float = 0.0) -> None:
+    def finish_call(self, call: PendingCall, outcome: Outcome, total: float = 0.0) -> None:
         """Report a call's outcome; without effect on one that is over."""
         if call.name is not None and not call.is_over:
             call.is_over = True
@@ -265,7 +265,7 @@
                 return
             self.unexpired.popleft()
             # It stays among the unanswered: its reply still comes, and must not pass for the next call's.
-            self.end(call, Outcome.TIMEOUT)
+            self.finish_call(call, Outcome.TIMEOUT)
 
     async def _run(self) -> None:
         """Connect again whenever the connection ends, with a backoff after one that brought no reply."""
@@ -300,7 +300,7 @@
             async with asyncio.timeout(CHECK_INTERVAL_SECONDS):
                 await connection.closed.wait()
         except TimeoutError:
-            connection.check()
+            connection.check_liveness()
 
 
 def _parse_reply(reply: object, *, is_ping: bool) -> tuple[Outcome, float]:
--- a/limiter/transport/discovery/discovery_watch.py
+++ b/limiter/transport/discovery/discovery_watch.py
@@ -11,17 +11,15 @@
 
 from limiter.configuration.config import Address, ConfigError
 from limiter.transport.backoff import Backoff
-from limiter.transport.discovery.member_list import (
-    Entries,
-    MemberList,
+from limiter.transport.discovery.endpoint_list import (
+    EndpointList,
+    ListedEndpoint,
     MemberListError,
     NameNumbering,
-    members,
+    parse_endpoint_list,
 )
 from limiter.transport.http_response import ResponseProtocol
 
-__all__ = ["DiscoveryWatch", "NameNumbering", "PollPacing", "members"]
-
 log = logging.getLogger(__name__)
 
 LIST_PATH = "/catalog/members"
@@ -38,7 +36,8 @@
 MAX_BACKOFF_SECONDS = 1.0
 CATCH_UP_POLL_MS = 1  # long poll after a failure: only what is known to discovery already, without a wait
 
-ChangedCallback = Callable[[Entries, bool, bool], None]  # entries, whether they are all, whether from a cache
+# Called with the entries, whether they are all servers, and whether they come from the configuration.
+ChangedCallback = Callable[[list[ListedEndpoint], bool, bool], None]
 FailedCallback = Callable[[bool], None]  # whether discovery is overloaded
 
 
@@ -145,7 +144,7 @@
     """Polls discovery for as long as it runs, and reports the list of servers as it changes.
 
     It waits for a response, or backs off after a failure, or, where an overloaded discovery serves many
-    limiters, waits for `call`.
+    limiters, waits for `allow_next_poll`.
     """
 
     def __init__(  # noqa: PLR0913, PLR0917 - a watch is made in one place, from these parts
@@ -167,8 +166,8 @@
             dial_timeout_ms: for opening a connection.
             pacing: how long calls wait.
             on_changed: called with a list, or with the changes to the last one.
-            on_failed: called after each failed call where discovery is shared; `call` ends the wait after an
-                overload, a backoff any other.
+            on_failed: called after each failed call where discovery is shared by all limiters. After an overload
+                the watch waits for `allow_next_poll`, after any other failure for its backoff.
         """
         self.loop = loop
         self.address = discovery
@@ -180,12 +179,12 @@
         self.version: int | None = None  # of the list that changes apply to; None: the full list is wanted
         self.is_current = False  # the last call succeeded: the next may wait for a change
         self.first_response = asyncio.Event()  # discovery has answered for the first time
-        self.poll_allowed = asyncio.Event()  # set by `call` after an overload
+        self.poll_allowed = asyncio.Event()  # set by `allow_next_poll` after an overload
         self.backoff = Backoff(FIRST_BACKOFF_SECONDS, pacing.max_backoff_seconds)
         self.task: asyncio.Task[None] | None = None
         self._is_failure_logged = False  # since the last success
 
-    def known(self, document: Any) -> None:
+    def set_known_endpoints(self, document: Any) -> None:
         """Report the list as this limiter last had it, maybe old; raise ConfigError where it is none.
 
         The first call then asks for the changes since: the full list costs discovery a line for each server,
@@ -195,13 +194,13 @@
         if document is None:
             return
         try:
-            listed = members(document, self.names)
+            listed = parse_endpoint_list(document, self.names)
         except MemberListError as error:
             raise ConfigError(key="known", problem=str(error)) from error
         self.version = None if self.pacing.is_pushed else listed.version
         self.on_changed(listed.entries, True, True)
 
-    def call(self) -> None:
+    def allow_next_poll(self) -> None:
         """Make the call that waits since discovery was overloaded."""
         self.poll_allowed.set()
 
@@ -210,7 +209,7 @@
         self._is_failure_logged = False
         self.task = self.loop.create_task(self._run())
 
-    def move(self, discovery: Address) -> None:
+    def change_address(self, discovery: Address) -> None:
         """Watch at another address. The list stands until that one has sent its own full list."""
         if discovery == self.address:
             return
@@ -291,14 +290,14 @@
         self._apply(listed, is_full=listed.is_full or known_version is None)
         return response.keep_alive
 
-    def _read(self, response: DiscoveryResponse) -> MemberList:
+    def _read(self, response: DiscoveryResponse) -> EndpointList:
         if response.status >= 500:
             raise DiscoveryOverloadedError(response.status)
         if response.status != 200:
             raise UnexpectedStatusError(response.status)
-        return members(json.loads(response.body), self.names)
+        return parse_endpoint_list(json.loads(response.body), self.names)
 
-    def _apply(self, listed: MemberList, *, is_full: bool) -> None:
+    def _apply(self, listed: EndpointList, *, is_full: bool) -> None:
         self.version = listed.version
         self.backoff.reset()
         self.is_current = True
--- a/limiter/transport/discovery/member_list.py
+++ b/limiter/transport/discovery/endpoint_list.py
@@ -18,19 +18,26 @@
 NUMBER_DIGEST_BYTES = 8
 UNKNOWN_NAME_BIT = 1 << 64  # set in the numbers of unknown names, which are so above all indices
 
-Entries = list[tuple[Endpoint, Address]]
-
 
 class MemberListError(ValueError):
     """A document is not a list of servers; the message names the key that is wrong."""
 
 
-class MemberList(NamedTuple):
+class ListedEndpoint(NamedTuple):
+    """One server of a list: what the policy needs of it, and where it listens."""
+
+    endpoint: Endpoint
+    address: Address
+
+
+class EndpointList(NamedTuple):
     """A list of servers, or the changes to one."""
 
     version: int
-    is_full: bool  # whether servers that it does not name are gone
-    entries: Entries
+    is_full: (
+        bool  # False: changes to the list of the version before, which leave servers not named as they are
+    )
+    entries: list[ListedEndpoint]
 
 
 class NameNumbering:
@@ -55,7 +62,7 @@
         return _number(name, self.kinds)
 
 
-def members(document: Any, names: NameNumbering) -> MemberList:
+def parse_endpoint_list(document: Any, names: NameNumbering) -> EndpointList:
     """Read a list of servers from parsed JSON; raise MemberListError where it is none."""
     try:
         return _parse(document, names)
@@ -68,7 +75,7 @@
         raise MemberListError(str(error)) from error
 
 
-def _parse(document: Any, names: NameNumbering) -> MemberList:
+def _parse(document: Any, names: NameNumbering) -> EndpointList:
     items = document["instances"]
     version = document["generation"]
     is_full = document["reset"]
@@ -79,10 +86,10 @@
     if not isinstance(version, int) or not isinstance(is_full, bool):
         message = "not a list of servers: generation or reset"
         raise MemberListError(message)
-    return MemberList(version, is_full, entries)
+    return EndpointList(version, is_full, entries)
 
 
-def _parse_entry(item: Any, names: NameNumbering) -> tuple[Endpoint, Address]:
+def _parse_entry(item: Any, names: NameNumbering) -> ListedEndpoint:
     key = item["instanceId"]
     zone = item.get("zone", "")
     kind = item.get("machineType", "")
@@ -109,7 +116,7 @@
         weight=float(weight),
         started_at=float(started_at),
     )
-    return endpoint, address(item["hostPort"])
+    return ListedEndpoint(endpoint, address(item["hostPort"]))
 
 
 def _number(name: str, known: dict[str, int]) -> int:
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from limiter.configuration.config import Address, Config
+from limiter.configuration.config import Config
 from limiter.model.actions import (
     BroadcastGossip,
     CancelAttempt,
@@ -24,7 +24,6 @@
 from limiter.model.events import (
     CounterReply,
     DiscoveryPollFailed,
-    Endpoint,
     EndpointsChanged,
     EndpointState,
     Event,
@@ -35,6 +34,7 @@
 from limiter.policy.engine import PolicyEngine
 from limiter.transport.clock import Clock
 from limiter.transport.counter.counter_client import CounterClient
+from limiter.transport.discovery.endpoint_list import ListedEndpoint
 from limiter.transport.driver.request_forwarder import RequestForwarder
 from limiter.transport.gossip.gossip_socket import GossipSocket
 from limiter.transport.servers.server_pool import ServerPool
@@ -108,7 +108,7 @@
     # Events from outside
 
     def servers_changed(
-        self, servers: list[tuple[Endpoint, Address]], is_full_list: bool, from_cache: bool = False
+        self, servers: list[ListedEndpoint], is_full_list: bool, from_cache: bool = False
     ) -> None:
         """Apply the endpoint list, or what changed of it."""
         listed = set()
--- a/tests/scale/test_process_standins.py
+++ b/tests/scale/test_process_standins.py
@@ -19,7 +19,7 @@
 from limiter.model.settings import Settings
 from limiter.policy.context import PolicyContext
 from limiter.policy.usage_gossip import UsageGossip
-from limiter.transport.discovery.discovery_watch import NameNumbering, members
+from limiter.transport.discovery.endpoint_list import NameNumbering, parse_endpoint_list
 from scale.process.counter import Counter
 from scale.process.discovery import Discovery
 from scale.process.endpoint_list import EndpointList
@@ -35,7 +35,7 @@
 
 def read_document(document: Any) -> tuple[int, bool, list[Endpoint]]:
     """Read discovery's answer as the limiter does: version, whether it is the whole list, entries."""
-    version, is_full_list, entries = members(document, NameNumbering((), ()))
+    version, is_full_list, entries = parse_endpoint_list(document, NameNumbering((), ()))
     return version, is_full_list, [endpoint for endpoint, _ in entries]
 
 
--- a/tests/support/in_process_limiter.py
+++ b/tests/support/in_process_limiter.py
@@ -12,6 +12,7 @@
 from limiter.model.events import Endpoint, EndpointState
 from limiter.transport.clients.listener import Listener
 from limiter.transport.clock import Clock
+from limiter.transport.discovery.endpoint_list import ListedEndpoint
 from limiter.transport.driver.proxy import Proxy
 from tests.support.client import Connection, http_request
 from tests.support.fake_server import Answer, FakeServer, ReceivedRequest
@@ -40,7 +41,7 @@
     for server in servers:
         await server.listen()
         endpoint = Endpoint(server.key.encode(), EndpointState.READY)
-        endpoints.append((endpoint, ("127.0.0.1", server.port)))
+        endpoints.append(ListedEndpoint(endpoint, ("127.0.0.1", server.port)))
     loop = asyncio.get_running_loop()
     clock = Clock()
     config = parse(configuration(seed="1"))
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from limiter.transport.discovery.discovery_watch import DiscoveryWatch, NameNumbering, PollPacing, members
+from limiter.transport.discovery.discovery_watch import DiscoveryWatch, PollPacing
+from limiter.transport.discovery.endpoint_list import NameNumbering, parse_endpoint_list
 from tests.support.client import HEALTH_CHECK, http_request
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.harness import LimiterHarness, run_scenario, wait_for_version
@@ -69,7 +70,7 @@
     names = NameNumbering(["a", "b"], ["m"])
     entry = {"instanceId": "s", "hostPort": "127.0.0.1:1", "lifecycle": "active"}
     instances = [{**entry, "zone": zone, "machineType": zone} for zone in ("a", "x", "y", "x", "b")]
-    listed = members({"generation": 1, "reset": True, "instances": instances}, names)
+    listed = parse_endpoint_list({"generation": 1, "reset": True, "instances": instances}, names)
     zones = [endpoint.zone for endpoint, _ in listed.entries]
     assert (zones[0], zones[4]) == (0, 1)
     assert zones[1] == zones[3] != zones[2]
@@ -172,10 +173,10 @@
 
         watch.start()
         await wait_for_failure(1)
-        watch.call()
+        watch.allow_next_poll()
         await wait_for_failure(2)
         discovery.status = 200
-        watch.call()
+        watch.allow_next_poll()
         await wait_until(lambda: changes)
         watch.close()
         discovery.server.close()
