--- a/limiter/transport/discovery/discovery_watch.py
+++ b/limiter/transport/discovery/discovery_watch.py
@@ -166,8 +166,8 @@
             dial_timeout_ms: for opening a connection.
             pacing: how long calls wait.
             on_changed: called with a list, or with the changes to the last one.
-            on_failed: called after each failed call where discovery is shared by all limiters. After an overload
-                the watch waits for `allow_next_poll`, after any other failure for its backoff.
+            on_failed: called after each failed call where all limiters share one discovery. After an
+                overload the watch waits for `allow_next_poll`, after any other failure for its backoff.
         """
         self.loop = loop
         self.address = discovery
