--- a/limiter/transport/clients/client_connection.py
+++ b/limiter/transport/clients/client_connection.py
@@ -10,7 +10,7 @@
 from limiter.transport.clients.client_response import LocalResponse, encode_response
 from limiter.transport.clients.request_parser import ParsedRequest, RequestParser
 from limiter.transport.driver.proxied_request import ProxiedRequest
-from limiter.transport.sockets import hung_up, unread
+from limiter.transport.sockets import has_peer_hung_up, has_unread_input
 
 MAX_PIPELINED_REQUESTS = 16  # that may wait on a connection behind the current one
 MAX_DISCARDED_BYTES = 262_144  # still read after the response to bad input, before reading stops
@@ -238,11 +238,15 @@
     @property
     def unread(self) -> bool:
         """Whether a request, or the client's end, waits in the kernel."""
-        return self.transport is not None and not self.transport.is_closing() and unread(self.transport)
+        return (
+            self.transport is not None
+            and not self.transport.is_closing()
+            and has_unread_input(self.transport)
+        )
 
     def hung_up(self) -> bool:
         """Whether the client has gone, also where the loop has not come to read its end."""
-        return self.transport is None or hung_up(self.transport)
+        return self.transport is None or has_peer_hung_up(self.transport)
 
     def close(self) -> None:
         """Close between requests, or after its client; at once where that does not read its responses."""
--- a/limiter/transport/http_response.py
+++ b/limiter/transport/http_response.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from limiter.transport.sockets import cut
+from limiter.transport.sockets import close_at_once
 
 MAX_HEAD_BYTES = 32768  # interim responses included: they count for nothing, and could go on without end
 MAX_FRAMING_FACTOR = 8  # times the longest body: bound on chunks and trailers, which have no end of their own
@@ -94,7 +94,7 @@
         """Close the connection at once, and read nothing more."""
         self._parser = None
         if self.transport is not None:
-            cut(self.transport)
+            close_at_once(self.transport)
 
     def _is_too_long(self) -> bool:
         """Whether an incomplete response exceeds the bounds on its head, or on its chunks and trailers."""
--- a/limiter/transport/servers/server_connection.py
+++ b/limiter/transport/servers/server_connection.py
@@ -9,7 +9,7 @@
 from limiter.model.events import Outcome
 from limiter.transport.http_response import ResponseProtocol
 from limiter.transport.servers.attempt import Attempt
-from limiter.transport.sockets import unread
+from limiter.transport.sockets import has_unread_input
 
 if TYPE_CHECKING:
     from limiter.transport.servers.server_pool import PooledServer, ServerPool
@@ -47,7 +47,11 @@
     @property
     def is_reusable(self) -> bool:
         """Whether it can take a request: open, with neither an end nor a second response left to read."""
-        return self.transport is not None and not self.transport.is_closing() and not unread(self.transport)
+        return (
+            self.transport is not None
+            and not self.transport.is_closing()
+            and not has_unread_input(self.transport)
+        )
 
     def start(self, attempt: Attempt) -> None:
         """Write the attempt's request; its response or the connection's end will end it."""
--- a/tests/transport/test_paused_process.py
+++ b/tests/transport/test_paused_process.py
@@ -16,7 +16,7 @@
 from limiter.transport.driver.proxied_request import ProxiedRequest
 from limiter.transport.servers.server_connection import ServerConnection
 from limiter.transport.servers.server_pool import SETTLE_SECONDS
-from limiter.transport.sockets import hung_up
+from limiter.transport.sockets import has_peer_hung_up
 from tests.support.client import HEALTH_CHECK, Connection, http_request
 from tests.support.fake_server import FakeServer, respond_with
 from tests.support.harness import LimiterHarness, run_scenario
@@ -227,12 +227,12 @@
         local, remote = socket.socketpair()
         transport, _ = await asyncio.get_running_loop().connect_accepted_socket(asyncio.Protocol, local)
         transport.pause_reading()
-        assert not hung_up(transport)
+        assert not has_peer_hung_up(transport)
         remote.send(b"GET")
-        assert not hung_up(transport)
+        assert not has_peer_hung_up(transport)
         assert local.recv(8) == b"GET"
         remote.shutdown(socket.SHUT_WR)
-        assert hung_up(transport)
+        assert has_peer_hung_up(transport)
         transport.abort()
         remote.close()
 
--- a/tests/transport/test_server_connection_races.py
+++ b/tests/transport/test_server_connection_races.py
@@ -10,7 +10,7 @@
 from limiter.model.events import Outcome
 from limiter.transport.servers import server_pool
 from limiter.transport.servers.attempt import Attempt
-from limiter.transport.sockets import unread
+from limiter.transport.sockets import has_unread_input
 from tests.support.client import http_request
 from tests.support.fake_server import FakeServer, ReceivedRequest, never_answer, respond_with
 from tests.support.in_process_limiter import RawClient, in_process_limiter
@@ -44,7 +44,7 @@
             else:
                 writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
             assert connection.transport is not None
-            assert unread(connection.transport)
+            assert has_unread_input(connection.transport)
             outcomes: list[tuple[Outcome, bytes]] = []
 
             def ended(_attempt: Attempt, outcome: Outcome, body: bytes, _type: bytes) -> None:
@@ -74,8 +74,8 @@
             client.send(http_request())
             await wait_until(lambda: writers)
             [request] = proxy.requests.unanswered()
-            assert not unread(writers[0].transport)
+            assert not has_unread_input(writers[0].transport)
             proxy.pool.abandon(request.in_flight[0])
-            assert unread(writers[0].transport)  # its end has arrived already
+            assert has_unread_input(writers[0].transport)  # its end has arrived already
 
     asyncio.run(main())
