--- a/limiter/__main__.py
+++ b/limiter/__main__.py
@@ -19,8 +19,9 @@
 from limiter.model.settings import Settings
 from limiter.transport.clients.listener import Listener
 from limiter.transport.clock import Clock
-from limiter.transport.discovery.discovery_watch import DiscoveryWatch, PollPacing
+from limiter.transport.discovery.discovery_watch import DiscoveryWatch, DiscoveryWatchOptions
 from limiter.transport.discovery.endpoint_list import NameNumbering
+from limiter.transport.discovery.poll_pacing import PollPacing
 from limiter.transport.driver.proxy import Proxy
 
 # At start discovery is waited for so long; after that the list of the configuration has to do.
@@ -43,7 +44,7 @@
     clock = Clock()
     with (
         closing(Proxy(loop, config, clock)) as proxy,
-        closing(_watch_discovery(loop, config, proxy)) as discovery,
+        closing(_watch_discovery(config, proxy)) as discovery,
     ):
         stop = asyncio.Event()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -62,18 +63,16 @@
         await drain(listener, proxy)
 
 
-def _watch_discovery(loop: asyncio.AbstractEventLoop, config: Config, proxy: Proxy) -> DiscoveryWatch:
+def _watch_discovery(config: Config, proxy: Proxy) -> DiscoveryWatch:
     """A watch that is not started yet; the proxy has the list of the configuration."""
     settings = config.settings
-    discovery = DiscoveryWatch(
-        loop,
-        config.discovery,
-        NameNumbering(config.zone_names, config.kind_names),
-        config.dial_timeout_ms,
-        PollPacing.of(settings.limiter_count, pushed=not settings.polls_discovery),
-        proxy.servers_changed,
-        proxy.discovery_failed,
+    options = DiscoveryWatchOptions(
+        address=config.discovery,
+        names=NameNumbering(config.zone_names, config.kind_names),
+        dial_timeout_ms=config.dial_timeout_ms,
+        pacing=PollPacing.for_fleet(settings.limiter_count, is_pushed=not settings.polls_discovery),
     )
+    discovery = DiscoveryWatch(options, proxy.servers_changed, proxy.discovery_failed)
     proxy.poll_discovery = discovery.allow_next_poll
     discovery.set_known_endpoints(config.known_endpoints)
     return discovery
--- a/scale/process/tier_load.py
+++ b/scale/process/tier_load.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from limiter.policy.usage_gossip import INTAKE_SHARE, MIN_INTERVAL_MS
-from limiter.transport.discovery.discovery_watch import PollPacing
+from limiter.transport.discovery.poll_pacing import PollPacing
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
     Changes that come one by one end a watch each; without changes one ends after the time that its pacing
     gives it.
     """
-    watch_s = PollPacing.of(tier.limiters, tier.discovery_is_pushed).wait / 1000
+    watch_s = PollPacing.for_fleet(tier.limiters, is_pushed=tier.discovery_is_pushed).long_poll_ms / 1000
     peers = tier.limiters - 1
     interval_s = max(MIN_INTERVAL_MS / 1000, peers / (INTAKE_SHARE * tier.gossip_intake_per_s))
     return TierLoad(
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -7,8 +7,9 @@
 
 import pytest
 
-from limiter.transport.discovery.discovery_watch import DiscoveryWatch, PollPacing
+from limiter.transport.discovery.discovery_watch import DiscoveryWatch, DiscoveryWatchOptions
 from limiter.transport.discovery.endpoint_list import NameNumbering, parse_endpoint_list
+from limiter.transport.discovery.poll_pacing import PollPacing
 from tests.support.client import HEALTH_CHECK, http_request
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.harness import LimiterHarness, run_scenario, wait_for_version
@@ -156,12 +157,14 @@
         discovery = FakeDiscovery()
         await discovery.listen()
         discovery.status = 503
-        watch = DiscoveryWatch(
-            asyncio.get_running_loop(),
+        options = DiscoveryWatchOptions(
             ("127.0.0.1", discovery.port),
             NameNumbering([], []),
             250.0,
-            PollPacing.of(200, pushed=False),
+            PollPacing.for_fleet(200, is_pushed=False),
+        )
+        watch = DiscoveryWatch(
+            options,
             lambda entries, is_full, is_cached: changes.append((len(entries), is_full, is_cached)),
             failures.append,
         )
@@ -215,16 +218,17 @@
 
 
 def test_calls_to_a_shared_discovery_wait_longer_the_more_limiters_there_are() -> None:
-    pacings = [PollPacing.of(limiters, pushed=False) for limiters in (1, 4, 40, 400)]
-    assert [pacing.wait for pacing in pacings] == [4000, 4000, 10000, 20000]
+    pacings = [PollPacing.for_fleet(limiters, is_pushed=False) for limiters in (1, 4, 40, 400)]
+    assert [pacing.long_poll_ms for pacing in pacings] == [4000, 4000, 10000, 20000]
     assert {pacing.grace_seconds for pacing in pacings} == {1.5}  # after 2 s a change counts as known
 
 
 @pytest.mark.parametrize("limiters", [1, 200])
 def test_silence_of_an_agent_that_pushes_is_noticed_before_sends_have_to_stop(limiters: int) -> None:
-    pacing = PollPacing.of(limiters, pushed=True)
+    pacing = PollPacing.for_fleet(limiters, is_pushed=True)
     assert pacing.grace_seconds + 1.2 * pacing.max_backoff_seconds < 0.25
-    assert pacing.wait / 1000 + pacing.grace_seconds < 6.0  # of an agent that falls silent during a call
+    # The silence of an agent that begins during a call.
+    assert pacing.long_poll_ms / 1000 + pacing.grace_seconds < 6.0
 
 
 @pytest.mark.parametrize("discovery", ["pushed", "on_request"])
