--- a/limiter/transport/discovery/endpoint_list.py
+++ b/limiter/transport/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's list of servers: its form in JSON, and the endpoints that are read from it."""
+"""Discovery's endpoint list: its form in JSON, and the endpoints that are read from it."""
 
 from __future__ import annotations
 
@@ -15,41 +15,50 @@
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.GONE,
 }
+# Length of the digest from which the number of an unknown name is made.
 NUMBER_DIGEST_BYTES = 8
-UNKNOWN_NAME_BIT = 1 << 64  # set in the numbers of unknown names, which are so above all indices
+# Set in the numbers of unknown names, so that they lie above the indices of all known ones.
+UNKNOWN_NAME_BIT = 1 << (8 * NUMBER_DIGEST_BYTES)
 
 
 class MemberListError(ValueError):
-    """A document is not a list of servers; the message names the key that is wrong."""
+    """A document is not an endpoint list; the message names the key that is wrong.
+
+    The log prints this class by name, which is documented for engineers on call.
+    """
 
 
 class ListedEndpoint(NamedTuple):
-    """One server of a list: what the policy needs of it, and where it listens."""
+    """One entry of an endpoint list: the server as the policy knows it, and where it listens."""
 
     endpoint: Endpoint
     address: Address
 
 
 class EndpointList(NamedTuple):
-    """A list of servers, or the changes to one."""
+    """All servers, or the changes to an earlier version of the list.
+
+    Attributes:
+        version: generation of the list; a later one is higher.
+        is_full: whether servers that it does not name have left. Otherwise they are unchanged.
+        entries: the servers that it names.
+    """
 
     version: int
-    is_full: (
-        bool  # False: changes to the list of the version before, which leave servers not named as they are
-    )
+    is_full: bool
     entries: list[ListedEndpoint]
 
 
 class NameNumbering:
-    """Numbers of zones and machine kinds: their index in the settings, else a number derived from the name.
+    """Numbers of zones and machine kinds: the index in the settings, or a number derived from the name.
 
-    Nothing is remembered of names that the settings do not have, since new ones may come all day.
+    Names that the settings do not have are not remembered, since new ones may come all day.
     """
 
     __slots__ = ("kinds", "zones")
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
-        """Number the names that the settings have, in their order."""
+        """Number the zones and the machine kinds of the settings in their order."""
         self.zones = {name: index for index, name in enumerate(zones)}
         self.kinds = {name: index for index, name in enumerate(kinds)}
 
@@ -63,23 +72,32 @@
 
 
 def parse_endpoint_list(document: Any, names: NameNumbering) -> EndpointList:
-    """Read a list of servers from parsed JSON; raise MemberListError where it is none."""
+    """Read an endpoint list.
+
+    Args:
+        document: parsed JSON.
+        names: numbers of zones and machine kinds.
+
+    Raises:
+        MemberListError: the document is not an endpoint list.
+    """
     try:
-        return _parse(document, names)
+        return _parse_document(document, names)
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         message = f"not a list of servers: {error!r}"
         raise MemberListError(message) from error
     except MemberListError:
         raise
-    except ValueError as error:  # of an address, or of text that is not Unicode
+    except ValueError as error:  # The address is malformed, or a text has characters that are not Unicode.
         raise MemberListError(str(error)) from error
 
 
-def _parse(document: Any, names: NameNumbering) -> EndpointList:
+def _parse_document(document: Any, names: NameNumbering) -> EndpointList:
     items = document["instances"]
     version = document["generation"]
     is_full = document["reset"]
-    if not isinstance(items, list):  # an empty object would pass for "no server left"
+    # Without this check an empty object would be read as "no server is left".
+    if not isinstance(items, list):
         message = "not a list of servers: instances"
         raise MemberListError(message)
     entries = [_parse_entry(item, names) for item in items]
@@ -90,39 +108,44 @@
 
 
 def _parse_entry(item: Any, names: NameNumbering) -> ListedEndpoint:
-    key = item["instanceId"]
+    endpoint_id = item["instanceId"]
     zone = item.get("zone", "")
     kind = item.get("machineType", "")
-    if not all(isinstance(text, str) for text in (key, zone, kind)) or not key:
+    if not all(isinstance(text, str) for text in (endpoint_id, zone, kind)) or not endpoint_id:
         message = "not a server: instanceId, zone or machineType"
         raise MemberListError(message)
     cell = item.get("cell", 0)
     weight = item.get("weight", 1.0)
-    started_at = item.get("startedAtMs", 0)
-    numbers = (cell, weight, started_at)
+    started_at_ms = item.get("startedAtMs", 0)
+    numbers = (cell, weight, started_at_ms)
     if not all(isinstance(number, int | float) and math.isfinite(number) for number in numbers):
         message = "not a server: cell, weight or startedAtMs"
         raise MemberListError(message)
-    state = LIFECYCLE_STATES.get(item["lifecycle"])
-    if state is None:
-        message = f"not a server: lifecycle {item['lifecycle']!r}"
-        raise MemberListError(message)
+    state = _parse_state(item["lifecycle"])
     endpoint = Endpoint(
-        id=key.encode(),
+        id=endpoint_id.encode(),
         state=state,
         zone=names.zone_number(zone),
         cell=int(cell),
         kind=names.kind_number(kind),
         weight=float(weight),
-        started_at=float(started_at),
+        started_at=float(started_at_ms),
     )
     return ListedEndpoint(endpoint, address(item["hostPort"]))
 
 
-def _number(name: str, known: dict[str, int]) -> int:
-    number = known.get(name)
+def _parse_state(lifecycle: Any) -> EndpointState:
+    state = LIFECYCLE_STATES.get(lifecycle)
+    if state is None:
+        message = f"not a server: lifecycle {lifecycle!r}"
+        raise MemberListError(message)
+    return state
+
+
+def _number(name: str, known_numbers: dict[str, int]) -> int:
+    number = known_numbers.get(name)
     if number is not None:
         return number
-    # Two unknown zones must not share a number: a keyed request's repeats are dropped within a zone only.
+    # Unknown zones must not share a number: repeats of a request with a key are dropped within a zone only.
     digest = hashlib.blake2b(name.encode(), digest_size=NUMBER_DIGEST_BYTES).digest()
     return int.from_bytes(digest) | UNKNOWN_NAME_BIT
