--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -33,7 +33,7 @@
 )
 from limiter.policy.engine import PolicyEngine
 from limiter.transport.clock import Clock
-from limiter.transport.counter.counter_client import CounterClient
+from limiter.transport.counter.counter_client import CounterClient, CounterClientOptions
 from limiter.transport.discovery.endpoint_list import ListedEndpoint
 from limiter.transport.driver.request_forwarder import RequestForwarder
 from limiter.transport.gossip.gossip_socket import GossipSocket
@@ -76,10 +76,12 @@
     def _make_counter(self, config: Config) -> CounterClient | None:
         if config.counter is None:
             return None
-        timeout = config.settings.counter_timeout
-        return CounterClient(
-            self._loop, config.counter, timeout, config.dial_timeout_ms, self._counter_replied
+        options = CounterClientOptions(
+            address=config.counter,
+            timeout_ms=config.settings.counter_timeout,
+            dial_timeout_ms=config.dial_timeout_ms,
         )
+        return CounterClient(options, self._counter_replied)
 
     def _make_gossip(self, config: Config) -> GossipSocket | None:
         if config.gossip is None:
--- a/tests/transport/test_counter_client.py
+++ b/tests/transport/test_counter_client.py
@@ -9,7 +9,7 @@
 
 from limiter.model.events import Outcome
 from limiter.transport.counter import counter_client as counter_client_module
-from limiter.transport.counter.counter_client import CounterClient
+from limiter.transport.counter.counter_client import CounterClient, CounterClientOptions
 from tests.support.client import http_request
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_server import never_answer
@@ -34,8 +34,8 @@
     def on_reply(_name: int, outcome: Outcome, _total: float, _latency: float) -> None:
         outcomes.append(outcome)
 
-    loop = asyncio.get_running_loop()
-    client = CounterClient(loop, ("127.0.0.1", counter.port), 50.0, 250.0, on_reply)
+    options = CounterClientOptions(("127.0.0.1", counter.port), 50.0, 250.0)
+    client = CounterClient(options, on_reply)
 
     async def call() -> None:
         await wait_until(lambda: client.connection is not None and client.connection.is_open, "connected")
