--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -58,10 +58,9 @@
         self.settings = config.settings
         self.engine = PolicyEngine(config.settings, config.seed)
         self.pool = ServerPool(
-            loop,
-            config.dial_timeout_ms,
-            config.keepalive_ms,
-            config.descriptor_share(SERVER_CONNECTION_SHARE),
+            dial_timeout_ms=config.dial_timeout_ms,
+            keepalive_ms=config.keepalive_ms,
+            max_connections=config.descriptor_share(SERVER_CONNECTION_SHARE),
         )
         self.forwarder = RequestForwarder(loop, clock, config.settings, self.pool, self._handle_event)
         self.requests = self.forwarder.requests
--- a/limiter/transport/driver/request_forwarder.py
+++ b/limiter/transport/driver/request_forwarder.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import time
 from collections.abc import Callable
 from functools import partial
 
@@ -57,7 +56,7 @@
         was_finished = request.finished
         request.finish()
         for attempt in request.in_flight:
-            self._pool.cancel_unsent(attempt, Outcome.CANCELLED)
+            attempt.cancel_unsent(Outcome.CANCELLED)
         if is_submitted and not was_finished:  # else the policy has not seen it, or has seen its end
             self._handle_event(ClientDisconnected(request.event.id))
         self.requests.release_if_done(request)
@@ -66,7 +65,7 @@
         """End a request now: its attempts time out, so that the policy responds; else it is done here."""
         request.expires_at = self._clock()  # no time for the attempt that the policy may want next
         for attempt in request.in_flight[:]:
-            self._pool.abandon(attempt)
+            attempt.abandon()
         if not request.finished:
             # 503 says that a retry is harmless: only where nothing ran or a repeat does no harm.
             idempotency = self._request_classes[request.event.request_class].idempotency
@@ -97,11 +96,10 @@
         timeout_ms = min(action.timeout, remaining_ms) if action.timeout else remaining_ms
         data = b"%bX-Deadline-Ms: %d\r\n\r\n%b" % (request.head, max(1, int(timeout_ms)), request.body)
         attempt = Attempt(
-            request,
             request.attempt_count,
             action.endpoint_id,
             data,
-            self._attempt_ended,
+            partial(self._attempt_ended, request),
             partial(self._finish_if_hung_up, request),
         )
         request.attempt_count += 1
@@ -121,7 +119,7 @@
             return
         for attempt in request.in_flight:
             if attempt.number == action.attempt:
-                self._loop.call_soon(self._pool.abandon, attempt, Outcome.CANCELLED)
+                self._loop.call_soon(attempt.abandon, Outcome.CANCELLED)
 
     def _finish_if_hung_up(self, request: ProxiedRequest) -> bool:
         """Whether nothing more may be sent for it; asked where an attempt begins.
@@ -134,8 +132,9 @@
                 client.close()
         return request.finished
 
-    def _attempt_ended(self, attempt: Attempt, outcome: Outcome, body: bytes, content_type: bytes) -> None:
-        request: ProxiedRequest = attempt.owner
+    def _attempt_ended(
+        self, request: ProxiedRequest, attempt: Attempt, outcome: Outcome, body: bytes, content_type: bytes
+    ) -> None:
         request.in_flight.remove(attempt)
         if outcome not in NEVER_RAN:
             request.may_have_run = True
@@ -145,11 +144,11 @@
             AttemptEnded(
                 request.event.id,
                 attempt.number,
-                attempt.server,
+                attempt.server_id,
                 outcome,
-                latency=(time.monotonic() - attempt.started) * 1000,
+                latency=attempt.elapsed_ms(),
                 request_finished=request.finished,
-                stale_connection=attempt.stale,
+                stale_connection=attempt.is_connection_stale,
             )
         )
         self.requests.release_if_done(request)
--- a/limiter/transport/servers/server_connection.py
+++ b/limiter/transport/servers/server_connection.py
@@ -4,45 +4,74 @@
 
 import asyncio
 import time
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from limiter.model.events import Outcome
 from limiter.transport.http_response import ResponseProtocol
 from limiter.transport.servers.attempt import Attempt
 from limiter.transport.sockets import has_unread_input
 
-if TYPE_CHECKING:
-    from limiter.transport.servers.server_pool import PooledServer, ServerPool
-
 MAX_BODY_BYTES = 65536
-STALL_SECONDS = 0.15  # for the rest of a response that has begun: servers send it in one go, or it is broken
-STALL_RECHECK_SECONDS = 0.02  # more, in which what the kernel held while this process did not run is read
+# Time within which more of a response that has begun must come. Servers send a response in one go, so one
+# that stops in between is broken, and would otherwise hold its request until the deadline.
+STALL_SECONDS = 0.15
+# Further time after that, in which what the kernel received while this process was paused is read.
+STALL_RECHECK_SECONDS = 0.02
 
 
-class ServerConnection(ResponseProtocol):
-    """One connection: idle in its pool, or carrying an attempt until the response or the connection's end."""
+class ConnectionOwner(Protocol):
+    """The server that a connection leads to, as known to the connection."""
 
-    __slots__ = ("_stall_timer", "attempt", "idle_before", "idle_since", "last_received", "pool", "server")
+    @property
+    def is_retired(self) -> bool:
+        """Whether nothing new is sent to this server."""
 
-    def __init__(self, pool: ServerPool, server: PooledServer) -> None:
-        """Make the protocol of a connection that `pool` opens to `server`."""
-        super().__init__(MAX_BODY_BYTES)
-        self.pool = pool
-        self.server = server
-        self.attempt: Attempt | None = None
-        self.idle_since = 0.0  # monotonic seconds; 0: it has not been idle yet
-        self.idle_before: float | None = (
-            None  # seconds idle before the current attempt; None: a new connection
-        )
-        self.last_received = 0.0  # monotonic seconds
-        self._stall_timer: asyncio.TimerHandle | None = None  # set only while part of a response has come
+    def bytes_received(self, received_at_seconds: float) -> None:
+        """Note that the server has sent something, on any connection."""
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take over the transport."""
-        super().connection_made(transport)
-        assert self.transport is not None
-        # No buffer: a write goes to the kernel at once, or resume_writing tells when its last byte did.
-        self.transport.set_write_buffer_limits(0)
+    def has_sent_since(self, moment_seconds: float) -> bool:
+        """Return whether the server has sent anything since a moment of the monotonic clock."""
+
+    def record_reuse(self, idle_seconds: float, *, was_reset: bool) -> None:
+        """Note how the reuse of a connection that had been idle for so long ended."""
+
+    def keep_idle(self, connection: ServerConnection) -> None:
+        """Keep an open connection for the server's next attempt."""
+
+    def forget(self, connection: ServerConnection) -> None:
+        """Drop a connection from all lists; without effect if that was done before."""
+
+    def close_idle(self) -> None:
+        """Close the idle connections to the server."""
+
+
+class ServerConnection(ResponseProtocol):
+    """A connection that is idle, or carries an attempt, until it is closed.
+
+    An attempt is carried from `start_attempt` until the response, the connection's end or `abandon_attempt`.
+    """
+
+    __slots__ = (
+        "_attempt",
+        "_idle_before_seconds",
+        "_idle_since_seconds",
+        "_last_received_seconds",
+        "_owner",
+        "_stall_timer",
+    )
+
+    def __init__(self, owner: ConnectionOwner) -> None:
+        """Make the protocol of a connection that is being opened to the server `owner`."""
+        super().__init__(MAX_BODY_BYTES)
+        self._owner = owner
+        self._attempt: Attempt | None = None
+        # Monotonic time at which it last became idle; None as long as it has carried no attempt.
+        self._idle_since_seconds: float | None = None
+        # Idle time before the attempt that it carries; None on a new connection.
+        self._idle_before_seconds: float | None = None
+        # Monotonic time at which the last bytes were parsed.
+        self._last_received_seconds = 0.0
+        self._stall_timer: asyncio.TimerHandle | None = None  # Set while only a part of a response has come.
 
     @property
     def is_reusable(self) -> bool:
@@ -53,69 +82,104 @@
             and not has_unread_input(self.transport)
         )
 
-    def start(self, attempt: Attempt) -> None:
+    def idle_seconds(self, now_seconds: float) -> float:
+        """Return for how long it has been idle; it must be idle."""
+        assert self._idle_since_seconds is not None
+        return now_seconds - self._idle_since_seconds
+
+    def become_idle(self) -> None:
+        """Wait for the next attempt, which `owner` will choose it for."""
+        self._idle_since_seconds = time.monotonic()
+        self._owner.keep_idle(self)
+
+    def start_attempt(self, attempt: Attempt) -> None:
         """Write the attempt's request; its response or the connection's end will end it."""
         transport = self.transport
         assert transport is not None
-        self.attempt = attempt
-        attempt.connection = self
-        self.idle_before = attempt.started - self.idle_since if self.idle_since else None
-        transport.write(attempt.data)
-        # A write that fails leaves the transport closing and its buffer empty: it was not written completely.
-        attempt.written = not transport.is_closing() and transport.get_write_buffer_size() == 0
+        self._attempt = attempt
+        attempt.write_begun(self)
+        if self._idle_since_seconds is not None:
+            self._idle_before_seconds = attempt.started_at_seconds - self._idle_since_seconds
+        transport.write(attempt.request_bytes)
+        # A write that fails leaves the transport closing with an empty buffer; it was not written completely.
+        if not transport.is_closing() and transport.get_write_buffer_size() == 0:
+            attempt.write_finished()
+
+    def abandon_attempt(self) -> None:
+        """Close the connection without ending its attempt, which the caller ends."""
+        attempt = self._attempt
+        self._attempt = None
+        self._fail()
+        if attempt is None or not attempt.is_written:
+            return
+        if not self._owner.has_sent_since(attempt.started_at_seconds):
+            # The other connections to a machine that has vanished stay open, and bring nothing either.
+            self._owner.close_idle()
+
+    def close(self) -> None:
+        """Close an idle connection."""
+        self._owner.forget(self)
+        self.drop()
+
+    # Callbacks of the event loop and of the response parser
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport, and be called back whenever all bytes are with the kernel."""
+        super().connection_made(transport)
+        assert self.transport is not None
+        # Without a buffer limit, `resume_writing` is called when the last byte has been written.
+        self.transport.set_write_buffer_limits(0)
 
     def resume_writing(self) -> None:
-        """The write buffer is empty: the request is with the kernel."""
-        if self.attempt is not None and self.transport is not None and not self.transport.is_closing():
-            self.attempt.written = True
+        """Note that the request is with the kernel, since the write buffer is empty."""
+        if self._attempt is not None and self.transport is not None and not self.transport.is_closing():
+            self._attempt.write_finished()
 
     def data_received(self, data: bytes) -> None:
         """Read a part of the response, and watch that the rest follows in time."""
-        self.server.last_received = time.monotonic()
-        if self.attempt is None:  # unsolicited: what follows could be taken for another request's response
+        received_at_seconds = time.monotonic()
+        self._owner.bytes_received(received_at_seconds)
+        if self._attempt is None:
+            # Nobody asked for this. What follows could be taken for the response to another request.
             self._fail()
             return
         super().data_received(data)
-        self.last_received = self.server.last_received
-        if self.attempt is None or not self.is_receiving:
+        self._last_received_seconds = received_at_seconds
+        if self._attempt is None or not self.is_receiving:
             self._stop_stall_timer()
         elif self._stall_timer is None:
             self._start_stall_timer()
 
     def response_received(self, status: int, body: bytes, keep_alive: bool) -> None:
         """End the attempt with its response, and keep the connection if it can carry another."""
-        attempt = self.attempt
-        if attempt is None:  # a second response to one request
+        attempt = self._attempt
+        if attempt is None:  # This is a second response to one request.
             self.drop()
             return
-        self.attempt = None
-        if self.idle_before is not None:
-            self.pool.reuse_history.record(self.idle_before, False)
+        self._attempt = None
+        if self._idle_before_seconds is not None:
+            self._owner.record_reuse(self._idle_before_seconds, was_reset=False)
         outcome = self._outcome_of(status)
-        if keep_alive and attempt.written and not self.server.retired:
-            self.pool.keep_idle(self)
+        if keep_alive and attempt.is_written and not self._owner.is_retired:
+            self.become_idle()
         else:
             self.drop()
         attempt.end(outcome, body, self.content_type)
 
     def connection_failed(self) -> None:
-        """Leave the pool, and end the attempt that was in flight."""
+        """Leave the lists of the server, and end the attempt that was in flight."""
         self._stop_stall_timer()
-        self.pool.forget(self)
-        attempt = self.attempt
+        self._owner.forget(self)
+        attempt = self._attempt
         if attempt is None:
             return
-        self.attempt = None
-        attempt.stale = self.idle_before is not None and self.last_received < attempt.started
-        if self.idle_before is not None and attempt.stale:
-            self.pool.reuse_history.record(self.idle_before, True)
-        # Before the last byte was written the server cannot have begun it; after that it may have.
-        attempt.end(Outcome.RESET if attempt.written else Outcome.CONNECT_FAILED)
-
-    def abandon_attempt(self) -> None:
-        """Close the connection without ending its attempt, which its caller ends."""
-        self.attempt = None
-        self._fail()
+        self._attempt = None
+        is_stale = False
+        if self._idle_before_seconds is not None:
+            is_stale = self._last_received_seconds < attempt.started_at_seconds
+            if is_stale:
+                self._owner.record_reuse(self._idle_before_seconds, was_reset=True)
+        attempt.connection_failed(is_stale=is_stale)
 
     def _outcome_of(self, status: int) -> Outcome:
         if status == 200:
@@ -129,21 +193,23 @@
         self.connection_failed()
 
     def _start_stall_timer(self) -> None:
-        self._stall_timer = self.pool.loop.call_later(
-            STALL_SECONDS, self._check_stall, self.last_received, False
+        self._stall_timer = asyncio.get_running_loop().call_later(
+            STALL_SECONDS, self._check_stall, self._last_received_seconds
         )
 
-    def _check_stall(self, received_at: float, is_recheck: bool) -> None:
-        """Fail where nothing came since `received_at`.
+    def _check_stall(self, last_received_seconds: float) -> None:
+        """Wait on if more has come since `last_received_seconds`; else have a last look in a while."""
+        if self._last_received_seconds != last_received_seconds:
+            self._start_stall_timer()
+            return
+        self._stall_timer = asyncio.get_running_loop().call_later(
+            STALL_RECHECK_SECONDS, self._recheck_stall, last_received_seconds
+        )
 
-        A response shorter than its stated length, say, would hold its request until the deadline.
-        """
-        if self.last_received != received_at:
+    def _recheck_stall(self, last_received_seconds: float) -> None:
+        """Wait on if more has come since `last_received_seconds`; else fail."""
+        if self._last_received_seconds != last_received_seconds:
             self._start_stall_timer()
-        elif not is_recheck:
-            self._stall_timer = self.pool.loop.call_later(
-                STALL_RECHECK_SECONDS, self._check_stall, received_at, True
-            )
         else:
             self._fail()
 
--- a/tests/transport/test_paused_process.py
+++ b/tests/transport/test_paused_process.py
@@ -160,7 +160,7 @@
 
             monkeypatch.setattr(ServerConnection, "connection_made", disconnect_client)
             leaving.send(http_request("order", request_id="gone"))
-            await wait_until(lambda: proxy.pool.connections, "the connection is up")
+            await wait_until(lambda: proxy.pool.connections.open, "the connection is up")
             staying.send(http_request("order", request_id="mark"))
             assert (await staying.response())[0] == 200
             assert request_ids(server.received) == ["mark"]
--- a/tests/transport/test_server_connection_races.py
+++ b/tests/transport/test_server_connection_races.py
@@ -38,7 +38,7 @@
             client = RawClient(listener)
             client.send(http_request("order", request_id="1"))
             assert await client.response() == (200, b"1")
-            [connection] = proxy.pool.idle
+            [connection] = proxy.pool.connections.idle
             if second:
                 writers[0].write(second)  # to the kernel at once
             else:
@@ -50,7 +50,7 @@
             def ended(_attempt: Attempt, outcome: Outcome, body: bytes, _type: bytes) -> None:
                 outcomes.append((outcome, body))
 
-            attempt = Attempt(None, 0, b"s-0", http_request("order", request_id="2"), ended)
+            attempt = Attempt(0, b"s-0", http_request("order", request_id="2"), ended)
             proxy.pool.send(attempt, 5.0)
             await wait_until(lambda: outcomes)
             assert outcomes == [(Outcome.OK, b"2")]
@@ -75,7 +75,7 @@
             await wait_until(lambda: writers)
             [request] = proxy.requests.unanswered()
             assert not has_unread_input(writers[0].transport)
-            proxy.pool.abandon(request.in_flight[0])
+            request.in_flight[0].abandon()
             assert has_unread_input(writers[0].transport)  # its end has arrived already
 
     asyncio.run(main())
--- a/tests/transport/test_server_pool.py
+++ b/tests/transport/test_server_pool.py
@@ -34,7 +34,7 @@
     def send(self) -> None:
         """Send the next attempt."""
         request = http_request(request_id=str(self.sent))
-        attempt = Attempt(None, self.sent, self.server.key.encode(), request, self._on_ended)
+        attempt = Attempt(self.sent, self.server.key.encode(), request, self._on_ended)
         self.sent += 1
         self.pool.send(attempt, ATTEMPT_TIMEOUT_SECONDS)
 
@@ -43,7 +43,7 @@
         await wait_until(lambda: len(self.ended) == self.sent, "the end of all attempts")
 
     def _on_ended(self, attempt: Attempt, outcome: Outcome, _body: bytes, _content_type: bytes) -> None:
-        self.ended.append((outcome, attempt.stale))
+        self.ended.append((outcome, attempt.is_connection_stale))
 
 
 @asynccontextmanager
@@ -51,7 +51,7 @@
     """Run a pool and the one server that it knows."""
     server = FakeServer("s")
     await server.listen()
-    pool = ServerPool(asyncio.get_running_loop(), 250.0, 30_000.0, 8)
+    pool = ServerPool(dial_timeout_ms=250.0, keepalive_ms=30_000.0, max_connections=8)
     pool.update(b"s", ("127.0.0.1", server.port), 0.0)
     try:
         yield PoolDriver(pool, server)
@@ -74,14 +74,14 @@
     async def main() -> None:
         async with pool_driver() as driver:
             driver.send()
-            await wait_until(lambda: driver.pool.idle)
+            await wait_until(lambda: driver.pool.connections.idle)
             # The idle connection is not reused, so another must be opened.
             monkeypatch.setattr(server_pool_module, "SETTLE_SECONDS", 1000.0)
-            monkeypatch.setattr(driver.pool.loop, "create_connection", fail_to_connect)
+            monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", fail_to_connect)
             driver.send()
             await driver.wait_for_end()
             assert [outcome for outcome, _ in driver.ended] == [Outcome.OK, Outcome.CONNECT_FAILED]
-            assert bool(driver.pool.idle) == is_kept
+            assert bool(driver.pool.connections.idle) == is_kept
 
     asyncio.run(main())
 
