--- a/limiter/transport/backoff.py
+++ b/limiter/transport/backoff.py
@@ -1,29 +1,36 @@
-"""Exponential backoff with jitter between two tries to connect."""
+"""Exponential backoff with jitter between two attempts to connect."""
 
 from __future__ import annotations
 
 import random
 
-JITTER = 0.2  # of each delay, up or down, so that clients that failed together do not return together
+# Largest part by which a delay is longer or shorter, so that clients which failed together do not return
+# together.
+JITTER = 0.2
 
 
 class Backoff:
-    """Delays that double with each failure, up to a bound, and start anew after a success."""
+    """Delays that double with each failure up to a bound, and start again after a success."""
 
-    __slots__ = ("_delay", "_first", "_max")
+    __slots__ = ("_delay_seconds", "_first_seconds", "_max_seconds")
 
     def __init__(self, first_seconds: float, max_seconds: float) -> None:
-        """Start with the first delay; both without their jitter."""
-        self._first = first_seconds
-        self._max = max_seconds
-        self._delay = first_seconds
+        """Begin with the first delay.
+
+        Args:
+            first_seconds: delay after the first failure, without its jitter.
+            max_seconds: bound on the delays, without their jitter.
+        """
+        self._first_seconds = first_seconds
+        self._max_seconds = max_seconds
+        self._delay_seconds = first_seconds
 
     def next_delay(self) -> float:
         """Return the seconds to wait now, and double the delay for the next failure."""
-        delay = self._delay * random.uniform(1 - JITTER, 1 + JITTER)
-        self._delay = min(self._max, 2 * self._delay)
-        return delay
+        delay_seconds = self._delay_seconds * random.uniform(1 - JITTER, 1 + JITTER)
+        self._delay_seconds = min(self._max_seconds, 2 * self._delay_seconds)
+        return delay_seconds
 
     def reset(self) -> None:
-        """Start anew with the first delay."""
-        self._delay = self._first
+        """Begin with the first delay again."""
+        self._delay_seconds = self._first_seconds
--- a/limiter/transport/clock.py
+++ b/limiter/transport/clock.py
@@ -1,4 +1,4 @@
-"""The time that the policy is given."""
+"""The clock that the policy's events are stamped with."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Clock:
-    """Unix time in milliseconds, read from the system once and advanced by the monotonic clock.
+    """Unix time in milliseconds: read from the system once, then advanced by the monotonic clock.
 
-    Counter names hold an epoch of this time, so all limiters must agree on it; yet a step of the system's
-    clock must neither end requests early nor hold them for ever.
+    Counter keys hold an epoch of this time, so all limiters must agree on it. A step of the system's clock,
+    though, must neither end requests early nor hold them for ever.
     """
 
     __slots__ = ("_offset_seconds",)
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -85,7 +85,7 @@
     def _make_gossip(self, config: Config) -> GossipSocket | None:
         if config.gossip is None:
             return None
-        return GossipSocket(self._loop, config.gossip, config.settings.limiter_index, self._gossip_received)
+        return GossipSocket(config.gossip, config.settings.limiter_index, self._gossip_received)
 
     def _action_handlers(self) -> dict[type, Callable[[Any], None]]:
         return {
