--- a/limiter/transport/counter/counter_client.py
+++ b/limiter/transport/counter/counter_client.py
@@ -14,7 +14,7 @@
 from limiter.model.events import Outcome
 from limiter.transport.backoff import Backoff
 from limiter.transport.counter.counter_connection import (
-    SILENCE_SECONDS,
+    REPLY_OVERDUE_SECONDS,
     CounterConnection,
     PendingCall,
     add_call,
@@ -25,7 +25,7 @@
 # Calls whose replies may be owed on a connection. Further ones are rejected here.
 MAX_UNANSWERED_CALLS = 512
 # Time in which the counter at the previous address may still reply, after the address has changed.
-ADDRESS_CHANGE_GRACE_SECONDS = 2 * SILENCE_SECONDS
+ADDRESS_CHANGE_GRACE_SECONDS = 2 * REPLY_OVERDUE_SECONDS
 # Delay before connecting again after a connection that brought no reply. It doubles with each further one.
 FIRST_BACKOFF_SECONDS = 0.05
 MAX_BACKOFF_SECONDS = 1.0
--- a/limiter/transport/counter/counter_connection.py
+++ b/limiter/transport/counter/counter_connection.py
@@ -23,10 +23,11 @@
 
 log = logging.getLogger(__name__)
 
-# Time without a reply that is owed after which the counter counts as dead. TCP would not say so for minutes.
-SILENCE_SECONDS = 1.0
+# Time without any reply, though one is owed, after which the counter counts as dead. TCP would not notice
+# that for minutes.
+REPLY_OVERDUE_SECONDS = 1.0
 # Interval between two checks of a connection.
-CHECK_INTERVAL_SECONDS = SILENCE_SECONDS / 4
+CHECK_INTERVAL_SECONDS = REPLY_OVERDUE_SECONDS / 4
 # Idle time after which a PING is sent. The counter closes idle connections after some 10 s, and a counter
 # that died must be noticed before the next call.
 PING_AFTER_SECONDS = 4.0
@@ -183,7 +184,7 @@
         now = time.monotonic()
         if self._unanswered:
             waiting_since = max(self._unanswered[0].started_at_seconds, self._last_received_seconds)
-            if now - waiting_since > SILENCE_SECONDS:
+            if now - waiting_since > REPLY_OVERDUE_SECONDS:
                 log.warning("counter_silent unanswered_calls=%d", len(self._unanswered))
                 self.abort()
         elif self.is_open and now - self._last_received_seconds > PING_AFTER_SECONDS:
--- a/limiter/transport/discovery/poll_pacing.py
+++ b/limiter/transport/discovery/poll_pacing.py
@@ -1,4 +1,4 @@
-"""How long calls to discovery wait for a change, and how soon a silent discovery counts as failed."""
+"""How long calls to discovery wait for a change, and how soon a call without a response has failed."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 MAX_BACKOFF_SECONDS = 1.0
 
 # Where lists are pushed, an agent on this machine responds at once and at no cost. Its changes count as known
-# immediately, so its silence must be noticed well within 250 ms, the shortest time in which sends have to
-# stop.
+# immediately, so an agent that no longer responds must be noticed well within 250 ms, the shortest time in
+# which sends have to stop.
 PUSHED_LONG_POLL_MS = 1000
 PUSHED_GRACE_SECONDS = 0.15
 
--- a/limiter/transport/servers/pooled_server.py
+++ b/limiter/transport/servers/pooled_server.py
@@ -17,9 +17,8 @@
     def __init__(self) -> None:
         """Begin without connections."""
         self.open: set[ServerConnection] = set()
-        self.idle: dict[
-            ServerConnection, None
-        ] = {}  # In order: the one that has been idle longest comes first.
+        # A dict for its order: the connection that has been idle longest comes first.
+        self.idle: dict[ServerConnection, None] = {}
         self.reuse_history = ReuseHistory()
 
     def longest_idle(self) -> ServerConnection | None:
--- a/limiter/transport/servers/reuse_history.py
+++ b/limiter/transport/servers/reuse_history.py
@@ -13,7 +13,7 @@
 MAX_EXCESS_RESET_SHARE = 0.15
 # Part of a span's reset share that each refused reuse takes off, so that the span is tried again in the end.
 DECAY_PER_REFUSAL = 0.02
-# Shortest idle time that is told apart; it keeps the logarithm finite.
+# Shorter idle times count as this one, which keeps the logarithm finite.
 MIN_IDLE_SECONDS = 1e-3
 
 
