--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -2,39 +2,19 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
-from typing import TYPE_CHECKING
+from collections.abc import Mapping
 
 from limiter.model.actions import SendAttempt
-from limiter.model.events import NEVER_RAN, AttemptEnded, Event, Outcome
+from limiter.model.events import NEVER_RAN, AttemptEnded, Outcome
 from scale.hollow.context import Context
-from scale.hollow.requests import Request, RequestLedger
-from scale.hollow.server import Server, ServerJob
+from scale.hollow.requests import Attempt, Request, RequestLedger, RequestOwner
+from scale.hollow.server import Server
 from scale.hollow.tally import FinalAnswer
 
-if TYPE_CHECKING:
-    from scale.hollow.limiters import Limiter
-
 # A time-out this little before the request's deadline is left to the deadline.
 TIMEOUT_MARGIN_MS = 0.5
 
 
-class Attempt(ServerJob):
-    """A request sent to a server: `is_over` says that it ended there, `is_ended` that it ended here."""
-
-    __slots__ = ("is_ended", "limiter", "number", "request", "sent_at", "server")
-
-    def __init__(self, request: Request, limiter: Limiter, server: Server[Attempt], sent_at: float) -> None:
-        """Make the next attempt of the request."""
-        super().__init__(request.work)
-        self.request = request
-        self.number = request.attempt_count
-        self.limiter = limiter
-        self.server = server
-        self.sent_at = sent_at
-        self.is_ended = False
-
-
 class AttemptDriver:
     """Sends attempts, carries servers' answers back, and reports to limiters how attempts ended."""
 
@@ -43,9 +23,8 @@
         context: Context,
         servers: Mapping[bytes, Server[Attempt]],
         ledger: RequestLedger,
-        feed: Callable[[Limiter, Event], None],
     ) -> None:
-        """Hand the ends of attempts to `feed`."""
+        """Take the servers by id, and the ledger of the requests that attempts are made for."""
         self._clock = context.clock
         self._network = context.network
         self._tally = context.tally
@@ -53,9 +32,8 @@
         self._max_attempts = context.experiment.max_attempts
         self._servers = servers
         self._ledger = ledger
-        self._feed = feed
 
-    def send(self, limiter: Limiter, action: SendAttempt) -> None:
+    def send(self, limiter: RequestOwner, action: SendAttempt) -> None:
         """Carry out SendAttempt; one for a request that is over ends at once with REQUEST_OVER."""
         request = limiter.requests.get(action.request_id)
         if request is None:
@@ -109,7 +87,7 @@
             latency=self._clock.now - attempt.sent_at,
             request_finished=request.answer is not None,
         )
-        self._feed(attempt.limiter, event)
+        attempt.limiter.feed(event)
         self._ledger.forget_if_over(attempt.limiter, request)
 
     def release(self, attempt: Attempt) -> None:
--- a/scale/hollow/clients.py
+++ b/scale/hollow/clients.py
@@ -111,7 +111,7 @@
         request = Request(event, now, customer.quota, planned.work)
         self._ledger.open(limiter, request)
         self._clock.call_at(event.expires_at, self._expire, limiter, limiter.incarnation, request)
-        self._host.feed(limiter, event)
+        limiter.feed(event)
 
     def _limiter_for(self, customer: Customer, number: int) -> Limiter:
         """That limiter, or one of the customer's set that is up where this one is known to be down."""
@@ -155,5 +155,5 @@
             may_retry = not request.may_have_run or is_idempotent
             self._ledger.answer(request, FinalAnswer.REJECTED if may_retry else FinalAnswer.FAILED)
             self._tally.answered_by_driver += 1
-            self._host.feed(limiter, ClientDisconnected(request.event.id))
+            limiter.feed(ClientDisconnected(request.event.id))
         self._ledger.forget_if_over(limiter, request)
--- a/scale/hollow/limiters.py
+++ b/scale/hollow/limiters.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import replace
 from typing import Protocol
 
@@ -29,6 +30,7 @@
 from limiter.model.settings import Idempotency, QuotaPlan, RequestClass, Settings
 from limiter.policy.engine import PolicyEngine
 from scale.hollow.attempts import AttemptDriver
+from scale.hollow.clock import VirtualClock
 from scale.hollow.context import Context
 from scale.hollow.counter import SharedCounter
 from scale.hollow.discovery import Discovery
@@ -43,6 +45,8 @@
     """One decision module, and what its driver keeps."""
 
     __slots__ = (
+        "_carry_out",
+        "_clock",
         "engine",
         "gossip_bytes_received",
         "gossip_bytes_sent",
@@ -56,8 +60,16 @@
         "zone",
     )
 
-    def __init__(self, number: int, zone: int) -> None:
-        """Be down until it is started."""
+    def __init__(
+        self,
+        number: int,
+        zone: int,
+        clock: VirtualClock,
+        carry_out: Callable[[Limiter, PolicyEngine, Action], None],
+    ) -> None:
+        """Be down until it is started; `carry_out` gets each action of the limiter's policy engine."""
+        self._clock = clock
+        self._carry_out = carry_out
         self.number = number
         self.zone = zone
         self.engine: PolicyEngine | None = None  # while up
@@ -70,6 +82,40 @@
         self.gossip_bytes_sent = 0
         self.gossip_bytes_received = 0
 
+    def start(self, engine: PolicyEngine) -> None:
+        """Come up with a new policy engine."""
+        self.engine = engine
+        self.is_up = True
+        self.state_since = self._clock.now
+        self.incarnation += 1
+
+    def kill(self) -> list[Request]:
+        """Go down and lose all state; return the requests that were not over."""
+        self.engine = None
+        self.is_up = False
+        self.state_since = self._clock.now
+        lost_requests = list(self.requests.values())
+        self.requests = {}
+        return lost_requests
+
+    def feed(self, event: Event) -> None:
+        """Hand an event to the policy engine and carry out its actions; nothing while the limiter is down."""
+        engine = self.engine
+        if engine is None:
+            return
+        for action in engine.handle(self._clock.now, event):
+            self._carry_out(self, engine, action)
+
+    def count_gossip_sent(self, datagrams: int, body: bytes) -> None:
+        """Count a message that was sent as that many datagrams."""
+        self.gossip_sent += datagrams
+        self.gossip_bytes_sent += datagrams * len(body)
+
+    def count_gossip_received(self, body: bytes) -> None:
+        """Count a message of another limiter."""
+        self.gossip_received += 1
+        self.gossip_bytes_received += len(body)
+
 
 class RejectionHandler(Protocol):
     """Takes the module's rejections: clients may retry."""
@@ -81,8 +127,8 @@
 class LimiterHost:
     """Starts and kills limiters, hands them events and carries out their actions."""
 
-    attempts: AttemptDriver  # set by the rig, as it and the clients feed events themselves
-    clients: RejectionHandler
+    clients: RejectionHandler  # set by the rig, as clients send their requests to the limiters made here
+    attempts: AttemptDriver  # set by the rig, as the servers report to the discovery made here
 
     def __init__(self, context: Context, ledger: RequestLedger) -> None:
         """Make the limiters, all down, and the network, counter and discovery that they talk to."""
@@ -97,43 +143,31 @@
         self.counter = SharedCounter(context.network, experiment.counter, experiment.seed)
         self.discovery = Discovery(context.clock, experiment, self._endpoints_changed)
         zone = context.network.topology.zone
-        self.limiters = [Limiter(number, zone(number)) for number in range(experiment.limiters)]
+        self.limiters = [
+            Limiter(number, zone(number), context.clock, self._carry_out)
+            for number in range(experiment.limiters)
+        ]
 
     def start(self, limiter: Limiter) -> None:
         """Start a limiter with the endpoint list and nothing else; nothing if it is up."""
         if limiter.is_up:
             return
         settings = replace(self._settings, limiter_index=limiter.number, zone=limiter.zone)
-        limiter.engine = PolicyEngine(settings, self._rng.getrandbits(63))
-        limiter.is_up = True
-        limiter.state_since = self._clock.now
-        limiter.incarnation += 1
-        self.feed(limiter, self.discovery.full_list())
+        limiter.start(PolicyEngine(settings, self._rng.getrandbits(63)))
+        limiter.feed(self.discovery.full_list())
 
     def kill(self, limiter: Limiter) -> None:
         """End a process or its machine: its requests and all its state are gone."""
         if not limiter.is_up:
             return
-        limiter.is_up = False
-        limiter.state_since = self._clock.now
-        limiter.engine = None
+        lost_requests = limiter.kill()
         self._gossip_ages.discard(limiter.number)
-        requests = limiter.requests
-        limiter.requests = {}
-        for request in requests.values():
+        for request in lost_requests:
             for attempt in request.in_flight[:]:
                 self.attempts.release(attempt)
             if request.answer is None:
                 self._ledger.answer(request, FinalAnswer.KILLED)
 
-    def feed(self, limiter: Limiter, event: Event) -> None:
-        """Hand an event to a limiter's module and carry out its actions; nothing if the limiter is down."""
-        engine = limiter.engine
-        if engine is None:
-            return
-        for action in engine.handle(self._clock.now, event):
-            self._carry_out(limiter, engine, action)
-
     def _carry_out(self, limiter: Limiter, engine: PolicyEngine, action: Action) -> None:
         match action:
             case SetTimer():
@@ -156,7 +190,7 @@
 
     def _timer_fired(self, limiter: Limiter, incarnation: int, token: int) -> None:
         if limiter.incarnation == incarnation:
-            self.feed(limiter, TimerFired(token))
+            limiter.feed(TimerFired(token))
 
     def _increment_counter(self, limiter: Limiter, call: IncrementCounter) -> None:
         called_at = self._clock.now
@@ -164,28 +198,26 @@
 
         def replied(outcome: Outcome, total: float) -> None:
             if limiter.incarnation == incarnation:
-                self.feed(limiter, CounterReply(call.key, outcome, total, self._clock.now - called_at))
+                limiter.feed(CounterReply(call.key, outcome, total, self._clock.now - called_at))
 
         self.counter.add(limiter.zone, call, replied)
 
     def _broadcast_gossip(self, limiter: Limiter, engine: PolicyEngine, body: bytes) -> None:
         message = self._gossip_ages.message_sent(limiter.number, engine, body)
         datagrams = self.gossip_network.broadcast(limiter.number, message)
-        limiter.gossip_sent += datagrams
-        limiter.gossip_bytes_sent += datagrams * len(body)
+        limiter.count_gossip_sent(datagrams, body)
         self._tally.gossip_messages += 1
 
     def _gossip_received(self, receiver: int, message: GossipMessage) -> None:
         limiter = self.limiters[receiver]
         if not limiter.is_up:
             return
-        limiter.gossip_received += 1
-        limiter.gossip_bytes_received += len(message.body)
+        limiter.count_gossip_received(message.body)
         self._gossip_ages.message_received(self._clock.now, receiver, message)
-        self.feed(limiter, GossipReceived(message.sender, message.body))
+        limiter.feed(GossipReceived(message.sender, message.body))
 
     def _endpoints_changed(self, receiver: int, change: EndpointsChanged) -> None:
-        self.feed(self.limiters[receiver], change)
+        self.limiters[receiver].feed(change)
 
 
 def limiter_settings(experiment: HollowExperiment) -> Settings:
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -1,17 +1,33 @@
-"""Requests of clients, from their arrival to their one final answer."""
+"""Requests of clients and their attempts, from a request's arrival to its one final answer."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 
-from limiter.model.events import ClientRequest
+from limiter.model.events import ClientRequest, Event
 from scale.hollow.context import Context
 from scale.hollow.quota import Quota
+from scale.hollow.server import Server, ServerJob
 from scale.hollow.tally import FinalAnswer
 
-if TYPE_CHECKING:
-    from scale.hollow.attempts import Attempt
-    from scale.hollow.limiters import Limiter
+
+class RequestOwner(Protocol):
+    """The limiter that a request came in through, as far as requests and attempts know it."""
+
+    @property
+    def number(self) -> int:
+        """Number of the limiter within the fleet."""
+
+    @property
+    def zone(self) -> int:
+        """Zone that the limiter runs in."""
+
+    @property
+    def requests(self) -> dict[int, Request]:
+        """Requests that are not over, by id."""
+
+    def feed(self, event: Event) -> None:
+        """Hand an event to the limiter's policy engine, and carry out the actions that it returns."""
 
 
 class Request:
@@ -42,6 +58,24 @@
         self.in_flight: list[Attempt] = []
 
 
+class Attempt(ServerJob):
+    """A request sent to a server: `is_over` says that it ended there, `is_ended` that it ended here."""
+
+    __slots__ = ("is_ended", "limiter", "number", "request", "sent_at", "server")
+
+    def __init__(
+        self, request: Request, limiter: RequestOwner, server: Server[Attempt], sent_at: float
+    ) -> None:
+        """Make the next attempt of the request."""
+        super().__init__(request.work)
+        self.request = request
+        self.number = request.attempt_count
+        self.limiter = limiter
+        self.server = server
+        self.sent_at = sent_at
+        self.is_ended = False
+
+
 class RequestLedger:
     """Gives requests their final answers, counts them, and forgets requests that are over."""
 
@@ -50,7 +84,7 @@
         self._clock = context.clock
         self._tally = context.tally
 
-    def open(self, limiter: Limiter, request: Request) -> None:
+    def open(self, limiter: RequestOwner, request: Request) -> None:
         """Enter a request that a limiter takes."""
         limiter.requests[request.event.id] = request
         self._tally.open_requests += 1
@@ -64,7 +98,7 @@
         self._tally.open_requests -= 1
         self._tally.request_answered(request.arrived, self._clock.now, answer, request.event.is_retry)
 
-    def finish(self, limiter: Limiter, request_id: int, answer: FinalAnswer) -> None:
+    def finish(self, limiter: RequestOwner, request_id: int, answer: FinalAnswer) -> None:
         """Carry out the module's final answer; one for a request that has been answered is dropped."""
         request = limiter.requests.get(request_id)
         if request is None or request.answer is not None:
@@ -72,7 +106,7 @@
         self.answer(request, answer)
         self.forget_if_over(limiter, request)
 
-    def forget_if_over(self, limiter: Limiter, request: Request) -> None:
+    def forget_if_over(self, limiter: RequestOwner, request: Request) -> None:
         """Forget a request that is answered and has no attempt in flight."""
         if request.answer is not None and not request.in_flight:
             limiter.requests.pop(request.event.id, None)
--- a/scale/hollow/rig.py
+++ b/scale/hollow/rig.py
@@ -31,7 +31,7 @@
         self.ledger = RequestLedger(context)
         self.host = LimiterHost(context, self.ledger)
         self.servers = ServerFleet(context, self.host.discovery)
-        attempts = AttemptDriver(context, self.servers.servers, self.ledger, self.host.feed)
+        attempts = AttemptDriver(context, self.servers.servers, self.ledger)
         self.clients = Clients(context, arrivals, self.host, attempts, self.ledger)
         self.servers.on_reply = attempts.server_replied
         self.host.attempts = attempts
--- a/scale/hollow/servers.py
+++ b/scale/hollow/servers.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Iterable
 
 from limiter.model.events import EndpointState, Outcome
-from scale.hollow.attempts import Attempt
 from scale.hollow.context import Context
 from scale.hollow.discovery import Discovery
+from scale.hollow.requests import Attempt
 from scale.hollow.server import Server
 
 AT_ONCE = (0.0, 0.0)  # ms until discovery learns of what the fleet itself announces
