--- a/scale/experiment.py
+++ b/scale/experiment.py
@@ -38,7 +38,7 @@
 KINDS = {
     "hollow": Kind("scale.hollow.plan", "HollowExperiment", "scale.hollow.run"),
     "process": Kind("scale.process.plan", "ProcessExperiment", "scale.process.run"),
-    "module": Kind("scale.process.plan", "ModuleExperiment", "scale.process.module"),
+    "module": Kind("scale.process.plan", "PolicyEngineExperiment", "scale.process.engine_sweep"),
 }
 
 
--- a/scale/hollow/__init__.py
+++ b/scale/hollow/__init__.py
@@ -1,4 +1,4 @@
-"""Many decision modules in one process and on one virtual clock, with stand-ins for all that they talk to.
+"""Many policy engines in one process and on one virtual clock, among simulated peers.
 
 What is real: `limiter.policy.engine.PolicyEngine`, one for each limiter, its events and its actions. The
 driver around it does what limiter/transport/proxy.py does. What is modelled: the network, gossip between
@@ -8,12 +8,12 @@
 | module | what it owns |
 | --- | --- |
 | `plan` | the keys of the experiment's file |
-| `rig`, `context` | the parts of one experiment, put together; what all of them share |
-| `limiters` | the decision modules: events in, actions carried out |
+| `simulation`, `context` | the parts of one experiment, put together; what all of them share |
+| `limiters` | the policy engines: events are fed to them, their actions carried out |
 | `customers`, `quota` | customers and their first requests, drawn ahead; the true state of their quotas |
 | `clients`, `requests`, `attempts` | requests and retries, their one final answer, attempts on servers |
 | `faults` | what an experiment stops, and when it is back |
-| `clock`, `network`, `counter`, `discovery`, `server`, `servers` | the stand-ins |
+| `clock`, `network`, `counter`, `discovery`, `server`, `servers` | the simulated peers |
 | `tally`, `gossip_age`, `run` | what is counted, the age of gossip, the result lines |
 
 One seed gives the same figures, byte for byte, wherever the pinned packages run.
--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -69,7 +69,7 @@
         self._network.call_after_delay(attempt.limiter.zone, attempt.server.zone, self.end, attempt, outcome)
 
     def end(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt at its limiter and notify the module; nothing if it has ended."""
+        """End an attempt at its limiter and notify its policy engine; nothing if it has ended."""
         if attempt.is_ended:
             return
         self.release(attempt)
--- a/scale/hollow/clients.py
+++ b/scale/hollow/clients.py
@@ -144,7 +144,10 @@
         self._clock.call_at(self._clock.now + delay, self._send, retry)
 
     def _expire(self, limiter: Limiter, incarnation: int, request: Request) -> None:
-        """End a request at its deadline: attempts time out, and the driver answers if the module does not."""
+        """End a request at its deadline: attempts time out.
+
+        The driver answers if the policy engine did not.
+        """
         if limiter.incarnation != incarnation or request.event.id not in limiter.requests:
             return
         request.expires_at = self._clock.now
--- a/scale/hollow/context.py
+++ b/scale/hollow/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the rig share."""
+"""What all parts of the simulation share."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
         self.customers = customers
         self.clock = VirtualClock()
         self.network = Network(self.clock, experiment)
-        # One stream for limiters, clients and faults: the order of their draws is part of the figures.
+        # One stream for limiters, clients and faults: the order of their draws is part of the figures, and so
+        # is the stream's name.
         self.rng = Random(f"{experiment.seed}:rig")
         self.tally = Tally(experiment)
         gossip_age_end = experiment.duration - experiment.gossip_age_tail
--- a/scale/hollow/counter.py
+++ b/scale/hollow/counter.py
@@ -1,4 +1,4 @@
-"""Stand-in for the shared counter: totals by name, served in order of arrival at a limited rate."""
+"""Simulation of the shared counter: totals by key, served in order of arrival at a limited rate."""
 
 from __future__ import annotations
 
--- a/scale/hollow/discovery.py
+++ b/scale/hollow/discovery.py
@@ -1,4 +1,4 @@
-"""Stand-in for discovery: the endpoint list, whose changes reach each limiter at a time of its own."""
+"""Simulation of discovery: the endpoint list, whose changes reach each limiter at a time of its own."""
 
 from __future__ import annotations
 
--- a/scale/hollow/limiters.py
+++ b/scale/hollow/limiters.py
@@ -1,6 +1,6 @@
-"""Hosting of the limiters: one decision module each, fed with events, its actions carried out.
+"""The limiters: a policy engine each, which is fed with events and whose actions are carried out.
 
-A limiter here does what limiter/transport/proxy.py does around the module, without the sockets.
+A limiter here does what the driver in limiter/transport does around the engine, without the sockets.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class Limiter:
-    """One decision module, and what its driver keeps."""
+    """One policy engine, and what its driver keeps."""
 
     __slots__ = (
         "_carry_out",
@@ -118,7 +118,7 @@
 
 
 class RejectionHandler(Protocol):
-    """Takes the module's rejections: clients may retry."""
+    """Takes the policy engines' rejections: clients may retry."""
 
     def request_rejected(self, limiter: Limiter, request_id: int) -> None:
         """Give the request its final answer."""
@@ -127,8 +127,10 @@
 class LimiterHost:
     """Starts and kills limiters, hands them events and carries out their actions."""
 
-    clients: RejectionHandler  # set by the rig, as clients send their requests to the limiters made here
-    attempts: AttemptDriver  # set by the rig, as the servers report to the discovery made here
+    clients: (
+        RejectionHandler  # set by the simulation, as clients send their requests to the limiters made here
+    )
+    attempts: AttemptDriver  # set by the simulation, as the servers report to the discovery made here
 
     def __init__(self, context: Context, ledger: RequestLedger) -> None:
         """Make the limiters, all down, and the network, counter and discovery that they talk to."""
--- a/scale/hollow/network.py
+++ b/scale/hollow/network.py
@@ -1,4 +1,4 @@
-"""Stand-in for the network: delays between zones, partitioned regions, and gossip between limiters."""
+"""Simulation of the network: delays between zones, partitioned regions, and gossip between limiters."""
 
 from __future__ import annotations
 
--- a/scale/hollow/plan.py
+++ b/scale/hollow/plan.py
@@ -229,7 +229,7 @@
 class HollowExperiment(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, tag_field="kind", tag="hollow"
 ):
-    """Many decision modules on one virtual clock."""
+    """Many policy engines on one virtual clock."""
 
     name: str
     limiters: Annotated[int, Meta(ge=2)]
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -90,7 +90,7 @@
         self._tally.open_requests += 1
 
     def answer(self, request: Request, answer: FinalAnswer) -> None:
-        """Give the final answer. Raises AssertionError if there was one: this is what the rig checks."""
+        """Give the final answer. Raises AssertionError if there was one: every simulation checks this."""
         if request.answer is not None:
             message = f"request {request.event.id}: {answer.value} after {request.answer.value}"
             raise AssertionError(message)
@@ -99,7 +99,7 @@
         self._tally.request_answered(request.arrived, self._clock.now, answer, request.event.is_retry)
 
     def finish(self, limiter: RequestOwner, request_id: int, answer: FinalAnswer) -> None:
-        """Carry out the module's final answer; one for a request that has been answered is dropped."""
+        """Carry out the policy engine's final answer; one for a request that has been answered is dropped."""
         request = limiter.requests.get(request_id)
         if request is None or request.answer is not None:
             return
--- a/scale/hollow/run.py
+++ b/scale/hollow/run.py
@@ -12,7 +12,7 @@
 from scale.experiment import Progress, Record
 from scale.hollow.gossip_age import AGE_STEP_MS
 from scale.hollow.plan import Fault, HollowExperiment
-from scale.hollow.rig import Rig
+from scale.hollow.simulation import Simulation
 from scale.hollow.tally import mean_and_max_rate, quantiles, ratio, rounded
 
 # Result lines keep these names of outcomes, so that results of older runs stay comparable.
@@ -26,26 +26,26 @@
 def run(experiment: HollowExperiment, record: Record, progress: Progress) -> None:
     """Play it to the last answer. Raises AssertionError if a request got none or more than one."""
     with _without_garbage_collection():
-        rig = Rig(experiment)
-        servers = len(rig.servers.servers)
-        size = f"{experiment.limiters} limiters, {servers} servers, {len(rig.customers)} customers"
+        simulation = Simulation(experiment)
+        servers = len(simulation.servers.servers)
+        size = f"{experiment.limiters} limiters, {servers} servers, {len(simulation.customers)} customers"
         progress(f"{experiment.name}: {size}")
         for step in range(1, PROGRESS_LINES + 1):
-            rig.run(experiment.duration * step / PROGRESS_LINES)
-            seconds = f"{rig.clock.now / 1000:.1f} s of {experiment.duration / 1000:.1f} s"
+            simulation.run(experiment.duration * step / PROGRESS_LINES)
+            seconds = f"{simulation.clock.now / 1000:.1f} s of {experiment.duration / 1000:.1f} s"
             progress(f"{experiment.name}: {seconds}")
-        gossip = gossip_figures(rig)
+        gossip = gossip_figures(simulation)
         max_deadline = max(request_class.deadline for request_class in experiment.classes)
-        rig.run(experiment.duration + experiment.clients.retry_delay[1] + 2 * max_deadline)
-        check(rig)
-        record(summary(rig, gossip))
+        simulation.run(experiment.duration + experiment.clients.retry_delay[1] + 2 * max_deadline)
+        check(simulation)
+        record(summary(simulation, gossip))
         for fault in experiment.faults:
-            record(fault_line(rig, fault))
+            record(fault_line(simulation, fault))
 
 
 @contextmanager
 def _without_garbage_collection() -> Iterator[None]:
-    """Modules live to the end; looking through them again and again would take most of the time."""
+    """Pause the collector: engines live to the end, and scanning them would take most of the time."""
     gc.disable()
     try:
         yield
@@ -53,67 +53,67 @@
         gc.enable()
 
 
-def check(rig: Rig) -> None:
+def check(simulation: Simulation) -> None:
     """Raise AssertionError unless every request has one final answer and no attempt is left."""
-    tally = rig.tally
+    tally = simulation.tally
     if tally.open_requests:
         message = f"{tally.open_requests} requests were never answered"
         raise AssertionError(message)
-    if tally.all_answers != rig.clients.sent_count:
-        message = f"{rig.clients.sent_count} tries and {tally.all_answers} answers"
+    if tally.all_answers != simulation.clients.sent_count:
+        message = f"{simulation.clients.sent_count} tries and {tally.all_answers} answers"
         raise AssertionError(message)
-    in_flight = sum(customer.quota.in_flight for customer in rig.customers)
+    in_flight = sum(customer.quota.in_flight for customer in simulation.customers)
     if in_flight:
         message = f"{in_flight} attempts are still out"
         raise AssertionError(message)
 
 
-def gossip_figures(rig: Rig) -> dict[str, Any]:
+def gossip_figures(simulation: Simulation) -> dict[str, Any]:
     """Messages between limiters so far; taken at the end of the time in which requests arrive."""
-    seconds = rig.experiment.duration / 1000
-    limiters = rig.host.limiters
+    seconds = simulation.experiment.duration / 1000
+    limiters = simulation.host.limiters
 
     def rate(counts: list[int]) -> dict[str, float]:
         return mean_and_max_rate(counts, seconds)
 
     return {
-        "tells": rig.tally.gossip_messages,
+        "tells": simulation.tally.gossip_messages,
         "messages_sent_per_s": rate([limiter.gossip_sent for limiter in limiters]),
         "messages_heard_per_s": rate([limiter.gossip_received for limiter in limiters]),
         "bytes_sent_per_s": rate([limiter.gossip_bytes_sent for limiter in limiters]),
         "bytes_heard_per_s": rate([limiter.gossip_bytes_received for limiter in limiters]),
-        "messages_dropped": sum(intake.dropped for intake in rig.host.gossip_network.intakes),
+        "messages_dropped": sum(intake.dropped for intake in simulation.host.gossip_network.intakes),
     }
 
 
-def summary(rig: Rig, gossip: dict[str, Any]) -> dict[str, Any]:
+def summary(simulation: Simulation, gossip: dict[str, Any]) -> dict[str, Any]:
     """The line for the whole experiment."""
-    experiment = rig.experiment
+    experiment = simulation.experiment
     return {
         "experiment": experiment.name,
         "seed": experiment.seed,
         "limiters": experiment.limiters,
-        "servers": len(rig.servers.servers),
-        "customers": len(rig.customers),
+        "servers": len(simulation.servers.servers),
+        "customers": len(simulation.customers),
         "duration_ms": experiment.duration,
-        **_request_figures(rig),
-        **_counter_figures(rig),
+        **_request_figures(simulation),
+        **_counter_figures(simulation),
         **gossip,
-        **_gossip_age_figures(rig),
-        "list_changes": rig.host.discovery.changes,
-        "servers_fallen": sum(server.crashes for server in rig.servers.servers.values()),
+        **_gossip_age_figures(simulation),
+        "list_changes": simulation.host.discovery.changes,
+        "servers_fallen": sum(server.crashes for server in simulation.servers.servers.values()),
     }
 
 
-def fault_line(rig: Rig, fault: Fault) -> dict[str, Any]:
+def fault_line(simulation: Simulation, fault: Fault) -> dict[str, Any]:
     """The line for one fault."""
     return {
-        "experiment": rig.experiment.name,
-        "seed": rig.experiment.seed,
+        "experiment": simulation.experiment.name,
+        "seed": simulation.experiment.seed,
         "fault": type(fault).__struct_config__.tag,
         "at_ms": fault.at,
         "ends_ms": fault.at + fault.duration(),
-        **rig.tally.recovery(fault.at),
+        **simulation.tally.recovery(fault.at),
     }
 
 
@@ -126,8 +126,8 @@
     }
 
 
-def _request_figures(rig: Rig) -> dict[str, Any]:
-    tally = rig.tally
+def _request_figures(simulation: Simulation) -> dict[str, Any]:
+    tally = simulation.tally
     answers = {answer.value: count for answer, count in tally.answers.items()}
     return {
         "tries": tally.requests,
@@ -146,20 +146,20 @@
     }
 
 
-def _counter_figures(rig: Rig) -> dict[str, Any]:
-    counter = rig.host.counter
+def _counter_figures(simulation: Simulation) -> dict[str, Any]:
+    counter = simulation.host.counter
     return {
         "counter_calls": counter.calls,
         "counter_full": counter.rejected_calls,
         "counter_unanswered": counter.timed_out_calls,
-        "counter_calls_a_request": ratio(counter.calls, rig.clients.sent_count),
+        "counter_calls_a_request": ratio(counter.calls, simulation.clients.sent_count),
     }
 
 
-def _gossip_age_figures(rig: Rig) -> dict[str, Any]:
-    ages = rig.gossip_ages
-    intake = rig.experiment.network.peer_intake
-    interval_ms = 1000 * (rig.experiment.limiters - 1) / (INTAKE_SHARE * intake)
+def _gossip_age_figures(simulation: Simulation) -> dict[str, Any]:
+    ages = simulation.gossip_ages
+    intake = simulation.experiment.network.peer_intake
+    interval_ms = 1000 * (simulation.experiment.limiters - 1) / (INTAKE_SHARE * intake)
     return {
         "telling_interval_ms": rounded(interval_ms),
         "news_pairs": ages.expected,
--- a/scale/hollow/server.py
+++ b/scale/hollow/server.py
@@ -1,4 +1,4 @@
-"""Stand-in for a server: cores, a queue, and a slow start in which overload makes it crash."""
+"""Simulation of a server: cores, a queue, and a slow start in which overload makes it crash."""
 
 from __future__ import annotations
 
--- a/scale/hollow/servers.py
+++ b/scale/hollow/servers.py
@@ -16,7 +16,7 @@
 class ServerFleet:
     """All servers by id, those that have ended too."""
 
-    on_reply: Callable[[Attempt, Outcome], None]  # set by the rig before the first attempt
+    on_reply: Callable[[Attempt, Outcome], None]  # set by the simulation before the first attempt
 
     def __init__(self, context: Context, discovery: Discovery) -> None:
         """Start as many as the experiment says, warm and on discovery's list."""
--- a/scale/hollow/rig.py
+++ b/scale/hollow/simulation.py
@@ -1,4 +1,4 @@
-"""The rig: real decision modules between the stand-ins, put together for one experiment."""
+"""The simulation of one experiment: real policy engines among simulated peers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from scale.hollow.servers import ServerFleet
 
 
-class Rig:
+class Simulation:
     """All parts of one experiment, with starts, first request and faults scheduled."""
 
     def __init__(self, experiment: HollowExperiment) -> None:
--- a/scale/process/clients.py
+++ b/scale/process/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in for the clients of the limiter under test."""
+"""Emulation of the clients of the limiter under test, over HTTP."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     def __init__(
         self, address: tuple[str, int], limiters: int, customers: list[int], servers: Servers, rng: Random
     ) -> None:
-        """Send requests to `address`, a limiter of a tier of that size."""
+        """Send requests to `address`, a limiter of a fleet of that size."""
         self.sent = 0
         self.unanswered = 0  # requests whose connection could not be made, or was closed too early
         self.statuses: Tally[int] = Tally()
--- a/scale/process/counter.py
+++ b/scale/process/counter.py
@@ -1,4 +1,4 @@
-"""Stand-in for the shared counter, over RESP2."""
+"""Emulation of the shared counter, over RESP2."""
 
 from __future__ import annotations
 
--- a/scale/process/discovery.py
+++ b/scale/process/discovery.py
@@ -1,4 +1,4 @@
-"""Stand-in for the discovery agent."""
+"""Emulation of the discovery agent, over HTTP."""
 
 from __future__ import annotations
 
--- a/scale/process/module_bench.py
+++ b/scale/process/engine_benchmark.py
@@ -1,4 +1,4 @@
-"""One decision module on a clock of its own, with the processor time of each event it handles."""
+"""One policy engine on a clock of its own, with the processor time of each event that it handles."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from limiter.policy.throttle import UPDATE_INTERVAL_MS
 from scale.process.fleet import MAX_LIMITER_SET_SIZE, plan_of, settings_document
 
-# A token that the module has no timer for: of the event, only the round that is due happens.
+# The engine has no timer with this token, so that handling the event runs the due round and nothing else.
 UNKNOWN_TIMER = TimerFired(99)
 START_MS = 1000.0
 LATENCY_MS = 20.0  # of each attempt
@@ -43,11 +43,11 @@
 )
 
 
-class ModuleBench:
-    """Hands events to a module one by one, each timed under a name of EVENT_NAMES."""
+class EngineBenchmark:
+    """Hands events to a policy engine one by one, each timed under a name of EVENT_NAMES."""
 
     def __init__(self, seed: int, limiters: int) -> None:
-        """Make the module of limiter 0 of a tier of that size."""
+        """Make the policy engine of limiter 0 of a fleet of that size."""
         document = {
             "listen": "127.0.0.1:1",
             "discovery": "127.0.0.1:2",
@@ -58,7 +58,7 @@
             "settings": settings_document(limiters, "pushed"),
         }
         self.now = START_MS
-        self.gossip_senders: set[int] = set()  # of the messages that the module took in
+        self.gossip_senders: set[int] = set()  # limiters whose messages the engine took in
         self.processor_ns = {name: HdrHistogram(1, MAX_EVENT_NS, 3) for name in EVENT_NAMES}
         self._engine = PolicyEngine(parse(document).settings, seed)
         self._limiter_set_size = min(float(MAX_LIMITER_SET_SIZE), float(limiters))
@@ -71,7 +71,7 @@
         return self._handle(name, event)
 
     def play_round(self, name: str) -> None:
-        """The module's round, UPDATE_INTERVAL_MS after the last one or later."""
+        """Run the engine's round, UPDATE_INTERVAL_MS after the last one or later."""
         self.now = max(self.now, self._last_round_at + UPDATE_INTERVAL_MS)
         self._last_round_at = self.now
         self._handle(name, UNKNOWN_TIMER)
--- a/scale/process/module.py
+++ b/scale/process/engine_sweep.py
@@ -1,4 +1,4 @@
-"""Experiments of the kind `module`: what the decision module's events cost by themselves, and its memory.
+"""Experiments of the kind `module`: processor time of the policy engine's events, and its memory.
 
 Each size has a fresh interpreter, so that nothing of the one before is counted. Times are processor time of
 the thread in microseconds, as the median and the 99th percentile; garbage collection falls on whom it meets.
@@ -20,6 +20,7 @@
 from limiter.model.events import Endpoint, EndpointsChanged, EndpointState
 from limiter.policy.usage_gossip import INTAKE_SHARE
 from scale.experiment import Progress, Record
+from scale.process.engine_benchmark import LATENCY_MS, EngineBenchmark
 from scale.process.fleet import (
     CUSTOMER_IDS,
     GOSSIP_INTAKE_PER_S,
@@ -28,8 +29,7 @@
     gossip_message,
 )
 from scale.process.limiter_process import status_mb
-from scale.process.module_bench import LATENCY_MS, ModuleBench
-from scale.process.plan import ModuleExperiment
+from scale.process.plan import PolicyEngineExperiment
 from scale.process.slopes import fit_slopes
 
 CHANGE_INTERVAL_MS = 1.0
@@ -60,7 +60,7 @@
     customers: int
 
 
-def run(experiment: ModuleExperiment, record: Record, progress: Progress) -> None:
+def run(experiment: PolicyEngineExperiment, record: Record, progress: Progress) -> None:
     """Play all sizes; a record for each, then the slopes over what was swept."""
     lines = []
     spawn = multiprocessing.get_context("spawn")
@@ -76,7 +76,7 @@
             record(slope)
 
 
-def measure(experiment: ModuleExperiment, size: Size) -> dict[str, Any]:
+def measure(experiment: PolicyEngineExperiment, size: Size) -> dict[str, Any]:
     """Measure one size, in an interpreter of its own; the result line."""
     figures = {
         "kind": "module",
@@ -93,12 +93,12 @@
 class SizeRun:
     """One size: list, rounds, changes, gossip on each customer, a request of each, and rounds again."""
 
-    def __init__(self, experiment: ModuleExperiment, size: Size) -> None:
-        """Make the module."""
+    def __init__(self, experiment: PolicyEngineExperiment, size: Size) -> None:
+        """Make the policy engine, with nothing listed yet."""
         self._experiment = experiment
         self._size = size
         self._rng = Random(f"{experiment.seed} {size.servers} {size.limiters} {size.customers}")
-        self._bench = ModuleBench(experiment.seed, size.limiters)
+        self._bench = EngineBenchmark(experiment.seed, size.limiters)
         self._senders = itertools.cycle(range(1, size.limiters))
         self._population: list[int] = []
 
--- a/scale/process/environment.py
+++ b/scale/process/environment.py
@@ -1,4 +1,4 @@
-"""The stand-ins around one limiter process, and what they count."""
+"""The emulated peers around one limiter process, and what they count."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
     discovery: Discovery
 
     def __init__(self, experiment: ProcessExperiment, servers: int, limiters: int, rng: Random) -> None:
-        """Make the stand-ins for lists of `servers` and a tier of `limiters`; none is started."""
+        """Make the emulated peers for a list of `servers` and a fleet of `limiters`; none is started."""
         self.experiment = experiment
         self.limiters = limiters
         self.servers = Servers(experiment.work_ms)
         self.counter = Counter(experiment.counter_per_s)
         self.clients: Clients | None = None  # from `start_clients` on
-        self.delays: list[float] = []  # s that stand-ins acted after their time, in this phase
+        self.delays: list[float] = []  # seconds that emulated peers acted too late, in this phase
         self._endpoint_count = servers
         self._rng = rng
         self._customers = rng.sample(range(CUSTOMER_IDS), experiment.customers)
         self.peers = GossipPeers(limiters, self._customers, experiment.entries, rng)
 
     async def start(self, folder: Path) -> LimiterProcess:
-        """Start the stand-ins but the clients, and the limiter, with its configuration in `folder`."""
+        """Start all emulated peers but the clients, then the limiter with its configuration in `folder`."""
         await self.servers.start(self.experiment.listeners)
         self.endpoints = EndpointList(self._endpoint_count, self.servers.addresses)
         self.discovery = Discovery(self.endpoints)
@@ -65,7 +65,7 @@
         return self.clients
 
     def close(self) -> None:
-        """Close all stand-ins."""
+        """Close all emulated peers."""
         self.servers.close()
         self.discovery.close()
         self.counter.close()
--- a/scale/process/fleet.py
+++ b/scale/process/fleet.py
@@ -21,7 +21,7 @@
 
 
 def settings_document(limiters: int, discovery: str) -> dict[str, Any]:
-    """The configuration's `settings` of limiter 0 of a tier of that size."""
+    """The configuration's `settings` of limiter 0 of a fleet of that size."""
     quota = {"beyondCosts": 0.8}
     return {
         "me": 0,
--- a/scale/process/tier_load.py
+++ b/scale/process/fleet_load.py
@@ -1,4 +1,7 @@
-"""Load of a whole tier on the roles that it shares, derived from the settings: nothing is measured here."""
+"""Load of a whole fleet of limiters on the roles that they share.
+
+The figures are derived from the settings; nothing is measured here.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +12,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tier:
-    """A tier of limiters that are all loaded alike."""
+class LimiterFleet:
+    """A fleet of limiters that all have the same load."""
 
     limiters: int
     discovery_is_pushed: bool
@@ -21,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TierLoad:
+class FleetLoad:
     """Calls and messages a second, of all limiters together unless said otherwise."""
 
     discovery_calls: float  # watches that end, with changes or without
@@ -31,19 +34,19 @@
     datagrams: float  # one to each other limiter
 
 
-def tier_load(tier: Tier) -> TierLoad:
-    """The tier's load on its roles.
+def fleet_load(fleet: LimiterFleet) -> FleetLoad:
+    """Derive the load of a fleet on counter, discovery and gossip.
 
     Changes that come one by one end a watch each; without changes one ends after the time that its pacing
     gives it.
     """
-    watch_s = PollPacing.of(tier.limiters, tier.discovery_is_pushed).wait / 1000
-    peers = tier.limiters - 1
-    interval_s = max(MIN_INTERVAL_MS / 1000, peers / (INTAKE_SHARE * tier.gossip_intake_per_s))
-    return TierLoad(
-        discovery_calls=tier.limiters * max(tier.changes_per_s, 1 / watch_s),
-        discovery_entries=tier.limiters * tier.changes_per_s,
-        counter_calls=tier.limiters * tier.requests_per_s * tier.counter_calls_per_request,
+    watch_s = PollPacing.of(fleet.limiters, fleet.discovery_is_pushed).wait / 1000
+    peers = fleet.limiters - 1
+    interval_s = max(MIN_INTERVAL_MS / 1000, peers / (INTAKE_SHARE * fleet.gossip_intake_per_s))
+    return FleetLoad(
+        discovery_calls=fleet.limiters * max(fleet.changes_per_s, 1 / watch_s),
+        discovery_entries=fleet.limiters * fleet.changes_per_s,
+        counter_calls=fleet.limiters * fleet.requests_per_s * fleet.counter_calls_per_request,
         gossip_interval_s=interval_s,
-        datagrams=tier.limiters * peers / interval_s,
+        datagrams=fleet.limiters * peers / interval_s,
     )
--- a/scale/process/gossip_peers.py
+++ b/scale/process/gossip_peers.py
@@ -1,4 +1,4 @@
-"""Stand-in for the other limiters: they send and receive gossip."""
+"""Emulation of the other limiters, which send and receive gossip."""
 
 from __future__ import annotations
 
--- a/scale/process/phases.py
+++ b/scale/process/phases.py
@@ -14,9 +14,9 @@
 from scale.process.clients import Clients
 from scale.process.environment import Environment
 from scale.process.fleet import GOSSIP_INTAKE_PER_S
+from scale.process.fleet_load import LimiterFleet, fleet_load
 from scale.process.limiter_process import LimiterProcess
 from scale.process.plan import ProcessExperiment
-from scale.process.tier_load import Tier, tier_load
 
 ANSWER_TIMEOUT_SECONDS = 4.0  # after the last request: its deadline and a second
 MAX_LATENCY_US = 60_000_000  # of the histogram
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """What stand-ins do in a phase, by their rates a second."""
+    """What emulated peers do in a phase, by their rates a second."""
 
     name: str
     datagrams: float = 0.0
@@ -38,7 +38,7 @@
 
     seconds: float
     processor_seconds: float  # of the limiter
-    counts: Tally[str]  # what the stand-ins counted
+    counts: Tally[str]  # what the emulated peers counted
 
     @property
     def cores(self) -> float:
@@ -75,7 +75,7 @@
                 **_cost_figures(phase, measurement, additional_cores),
                 **_answer_figures(clients),
                 "stand_ins_late_p99_ms": _percentile_ms(environment.delays, 99.0),
-                "tier": _tier_figures(environment, phase, measurement.counts, clients.sent),
+                "tier": _fleet_figures(environment, phase, measurement.counts, clients.sent),
             }
         )
     return lines
@@ -130,8 +130,8 @@
 def _answer_figures(clients: Clients) -> dict[str, Any]:
     """What came back, by status, and the latency added to what was served.
 
-    That is the time from writing a request to reading its whole answer, less the server's own time. The
-    stand-ins' share of it, on the same machine, is in.
+    That latency is the time from writing a request to reading its whole response, less the server's own time.
+    It includes what the emulated peers take of the same machine.
     """
     return {
         "requests": clients.sent,
@@ -153,13 +153,13 @@
     return value_us / 1000
 
 
-def _tier_figures(
+def _fleet_figures(
     environment: Environment, phase: Phase, counts: Tally[str], requests: int
 ) -> dict[str, Any] | None:
-    """The load of a whole tier of such limiters on its roles; None where the phase has no requests."""
+    """The load of a fleet of such limiters on the roles that they share; None in a phase without requests."""
     if not phase.requests:
         return None
-    tier = Tier(
+    fleet = LimiterFleet(
         limiters=environment.limiters,
         discovery_is_pushed=environment.experiment.discovery == "pushed",
         changes_per_s=phase.changes,
@@ -167,9 +167,9 @@
         counter_calls_per_request=counts["counter_calls"] / max(1, requests),
         gossip_intake_per_s=GOSSIP_INTAKE_PER_S,
     )
-    load = tier_load(tier)
+    load = fleet_load(fleet)
     return {
-        "counter_calls_a_request": round(tier.counter_calls_per_request, 4),
+        "counter_calls_a_request": round(fleet.counter_calls_per_request, 4),
         "counter_calls_per_s": round(load.counter_calls, 1),
         "discovery_calls_per_s": round(load.discovery_calls, 1),
         "discovery_entries_per_s": round(load.discovery_entries, 1),
--- a/scale/process/plan.py
+++ b/scale/process/plan.py
@@ -20,7 +20,7 @@
     """A process for each of `servers` x `limiters`, in four phases of load."""
 
     servers: Sizes  # in the endpoint list
-    limiters: Limiters  # of the tier, this one included
+    limiters: Limiters  # number of limiters of the fleet, the one under test included
     seed: Annotated[int, Meta(ge=0)] = 1
     discovery: Literal["pushed", "on_request"] = "pushed"
     # Whether the configuration has the list as last seen.
@@ -38,10 +38,10 @@
     ready_within_s: Seconds = 30.0
 
 
-class ModuleExperiment(
+class PolicyEngineExperiment(
     msgspec.Struct, tag_field="kind", tag="module", forbid_unknown_fields=True, frozen=True
 ):
-    """The decision module alone, in a fresh interpreter for each of `servers` x `limiters` x `customers`."""
+    """The policy engine alone, in a fresh interpreter for each of `servers` x `limiters` x `customers`."""
 
     servers: Sizes
     limiters: Limiters
--- a/scale/process/servers.py
+++ b/scale/process/servers.py
@@ -1,4 +1,4 @@
-"""Stand-in for the servers, on a few sockets."""
+"""Emulation of the servers, over HTTP on a few sockets."""
 
 from __future__ import annotations
 
--- a/scale/process/traffic.py
+++ b/scale/process/traffic.py
@@ -1,4 +1,4 @@
-"""Connections of the stand-ins: what passes on them is counted, and HTTP requests are read one by one."""
+"""Connections of the emulated peers: bytes are counted, and HTTP requests are read one by one."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_hollow_standins.py
+++ b/tests/scale/test_hollow_simulated_peers.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the hollow rig: clock, gossip intake, counter, servers, quotas and discovery."""
+"""The simulated peers of hollow experiments: clock, gossip intake, counter, servers, quotas and discovery."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_hollow_rig.py
+++ b/tests/scale/test_hollow_simulation.py
@@ -1,4 +1,4 @@
-"""The hollow rig: its figures are determined by the seed, and gossip reaches whom it should."""
+"""Simulations of hollow experiments: figures are determined by the seed, and gossip reaches whom it should."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import pytest
 
 from scale.hollow.plan import HollowExperiment
-from scale.hollow.rig import Rig
 from scale.hollow.run import check, run
+from scale.hollow.simulation import Simulation
 from scale.hollow.tally import FinalAnswer, Tally
 from tests.support.hollow_experiment import hollow_experiment
 
@@ -37,10 +37,10 @@
     return lines
 
 
-def played_rig(experiment: HollowExperiment, unreachable_limiter: int | None = None) -> Rig:
+def played_simulation(experiment: HollowExperiment, unreachable_limiter: int | None = None) -> Simulation:
     """Play the experiment's duration; gossip to one limiter may be dropped."""
-    rig = Rig(experiment)
-    gossip_network = rig.host.gossip_network
+    simulation = Simulation(experiment)
+    gossip_network = simulation.host.gossip_network
     deliver = gossip_network.deliver
 
     def deliver_unless_unreachable(receiver: int, message: Any) -> None:
@@ -48,8 +48,8 @@
             deliver(receiver, message)
 
     gossip_network.deliver = deliver_unless_unreachable
-    rig.run(experiment.duration)
-    return rig
+    simulation.run(experiment.duration)
+    return simulation
 
 
 def test_the_seed_determines_every_byte_and_each_request_has_one_answer() -> None:
@@ -68,20 +68,20 @@
 
 
 def test_a_second_final_answer_or_none_fails_the_run() -> None:
-    rig = Rig(hollow_experiment())
-    limiter = rig.host.limiters[0]
+    simulation = Simulation(hollow_experiment())
+    limiter = simulation.host.limiters[0]
     while not limiter.requests:
-        rig.run(rig.clock.now + 10.0)
+        simulation.run(simulation.clock.now + 10.0)
     with pytest.raises(AssertionError, match="never answered"):
-        check(rig)
+        check(simulation)
     request = next(request for request in limiter.requests.values() if request.answer is None)
-    rig.ledger.answer(request, FinalAnswer.SERVED)
+    simulation.ledger.answer(request, FinalAnswer.SERVED)
     with pytest.raises(AssertionError, match="refused after served"):
-        rig.ledger.answer(request, FinalAnswer.REJECTED)
+        simulation.ledger.answer(request, FinalAnswer.REJECTED)
 
 
 def test_all_usage_is_learnt_within_the_gossip_interval_where_no_message_is_dropped() -> None:
-    ages = played_rig(hollow_experiment(network={"peer_loss": 0.0})).gossip_ages
+    ages = played_simulation(hollow_experiment(network={"peer_loss": 0.0})).gossip_ages
     assert ages.expected == ages.learnt > 100
     # The interval is drawn up to a fifth longer.
     assert max(ages.ages) <= 1.2 * GOSSIP_INTERVAL_MS + MAX_GOSSIP_DELAY_MS
@@ -89,29 +89,29 @@
 
 def test_a_limiter_that_receives_no_gossip_shows_up_as_usage_never_learnt() -> None:
     experiment = hollow_experiment(network={"peer_loss": 0.0})
-    assert any(0 in customer.used_limiters for customer in Rig(experiment).customers)
-    ages = played_rig(experiment, unreachable_limiter=0).gossip_ages
+    assert any(0 in customer.used_limiters for customer in Simulation(experiment).customers)
+    ages = played_simulation(experiment, unreachable_limiter=0).gossip_ages
     assert 0 < ages.learnt < ages.expected
 
 
 def test_nothing_is_learnt_where_all_messages_are_dropped() -> None:
-    ages = played_rig(hollow_experiment(network={"peer_loss": 1.0})).gossip_ages
+    ages = played_simulation(hollow_experiment(network={"peer_loss": 1.0})).gossip_ages
     assert ages.learnt == 0 < ages.expected
 
 
 def test_partitioned_regions_receive_no_gossip_of_each_other_until_they_are_connected() -> None:
-    rig = Rig(hollow_experiment(zones=2, regions=2, network={"peer_loss": 0.0}))
+    simulation = Simulation(hollow_experiment(zones=2, regions=2, network={"peer_loss": 0.0}))
     receivers: list[int] = []
-    rig.host.gossip_network.deliver = lambda receiver, _message: receivers.append(receiver)
-    rig.network.partitioned_regions.add(1)
-    rig.host.gossip_network.broadcast(0, "message")
-    rig.clock.run(50.0)
+    simulation.host.gossip_network.deliver = lambda receiver, _message: receivers.append(receiver)
+    simulation.network.partitioned_regions.add(1)
+    simulation.host.gossip_network.broadcast(0, "message")
+    simulation.clock.run(50.0)
     assert sorted(receivers) == [2, 4, 6]
-    assert math.isinf(rig.network.delay(0, 1))
+    assert math.isinf(simulation.network.delay(0, 1))
     receivers.clear()
-    rig.network.partitioned_regions.clear()
-    rig.host.gossip_network.broadcast(0, "message")
-    rig.clock.run(100.0)
+    simulation.network.partitioned_regions.clear()
+    simulation.host.gossip_network.broadcast(0, "message")
+    simulation.clock.run(100.0)
     assert sorted(receivers) == [1, 2, 3, 4, 5, 6, 7]
 
 
--- a/tests/scale/test_process_standins.py
+++ b/tests/scale/test_process_emulated_peers.py
@@ -1,4 +1,4 @@
-"""The stand-ins around one limiter process: they speak the limiter's protocols and count what passes."""
+"""The emulated peers around one limiter process: they speak the limiter's protocols and count what passes."""
 
 from __future__ import annotations
 
@@ -110,7 +110,7 @@
     assert read_document(json.loads(endpoint_list.changes_since(13)))[2] == []
 
 
-def test_a_gossip_message_is_read_as_the_module_reads_it() -> None:
+def test_a_gossip_message_is_read_as_the_policy_engine_reads_it() -> None:
     settings = limiter_settings(3)
     gossip = UsageGossip(PolicyContext(settings, seed=1))
     customers = [3, 4, 5, 2**33 - 1]
@@ -128,7 +128,7 @@
     assert sorted(entry.customer for entry in message.entries) == list(range(48))
 
 
-def test_gossip_comes_from_the_addresses_of_the_tier() -> None:
+def test_gossip_comes_from_the_addresses_of_the_fleet() -> None:
     peers = GossipPeers(70_000, list(range(100)), 48, Random(1))
     config = peers.config()
     assert len(set(config["peers"])) == 70_000
--- a/tests/scale/test_process_experiments.py
+++ b/tests/scale/test_process_experiments.py
@@ -10,8 +10,8 @@
 
 from scale.errors import ExperimentError
 from scale.experiment import load, run
+from scale.process.fleet_load import LimiterFleet, fleet_load
 from scale.process.slopes import fit_slopes
-from scale.process.tier_load import Tier, tier_load
 
 EXPERIMENTS = Path(__file__).parents[2] / "scale" / "experiments"
 
@@ -40,7 +40,7 @@
 
 
 def check_phase_line(line: Line) -> None:
-    """The stand-ins did what the phase says, and each request got an answer."""
+    """The emulated peers did what the phase says, and each request got an answer."""
     phase = line["phase"]
     assert line["datagrams_in"] == (0 if phase == "idle" else 10)
     assert line["changes"] == (6 if phase in ("changes", "load") else 0)
@@ -79,7 +79,7 @@
     assert ("core", "load") in slopes
 
 
-def test_a_small_sweep_of_the_module() -> None:
+def test_a_small_sweep_of_the_policy_engine() -> None:
     lines = result_lines("module-small.toml")
     sizes = lines_of(lines, "size")
     assert [line["servers"] for line in sizes] == [20, 40, 60]
@@ -105,9 +105,9 @@
         load(path, None)
 
 
-def test_the_load_of_a_tier_whose_list_is_pushed() -> None:
-    load_figures = tier_load(
-        Tier(
+def test_the_load_of_a_fleet_whose_list_is_pushed() -> None:
+    load_figures = fleet_load(
+        LimiterFleet(
             limiters=200,
             discovery_is_pushed=True,
             changes_per_s=0.44,
@@ -130,11 +130,11 @@
         pytest.param(0.0, 0.0, 360.0, id="a watch without changes lasts 20 s"),
     ],
 )
-def test_the_load_of_a_large_tier_that_polls(
+def test_the_load_of_a_large_fleet_that_polls(
     changes_per_s: float, requests_per_s: float, discovery_calls: float
 ) -> None:
-    load_figures = tier_load(
-        Tier(
+    load_figures = fleet_load(
+        LimiterFleet(
             limiters=7200,
             discovery_is_pushed=False,
             changes_per_s=changes_per_s,
