--- a/scale/hollow/__init__.py
+++ b/scale/hollow/__init__.py
@@ -11,7 +11,7 @@
 | `simulation`, `context` | the parts of one experiment, put together; what all of them share |
 | `limiters` | the policy engines: events are fed to them, their actions carried out |
 | `customers`, `quota` | customers and their first requests, drawn ahead; the true state of their quotas |
-| `clients`, `requests`, `attempts` | requests and retries, their one final answer, attempts on servers |
+| `clients`, `requests`, `attempts` | requests and retries, their one final outcome, attempts on servers |
 | `faults` | what an experiment stops, and when it is back |
 | `clock`, `network`, `counter`, `discovery`, `server`, `servers` | the simulated peers |
 | `tally`, `gossip_age`, `run` | what is counted, the age of gossip, the result lines |
--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -9,14 +9,14 @@
 from scale.hollow.context import Context
 from scale.hollow.requests import Attempt, Request, RequestLedger, RequestOwner
 from scale.hollow.server import Server
-from scale.hollow.tally import FinalAnswer
+from scale.hollow.tally import RequestOutcome
 
 # A time-out this little before the request's deadline is left to the deadline.
 TIMEOUT_MARGIN_MS = 0.5
 
 
 class AttemptDriver:
-    """Sends attempts, carries servers' answers back, and reports to limiters how attempts ended."""
+    """Sends attempts, carries servers' responses back, and reports to limiters how attempts ended."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         attempt = Attempt(request, limiter, self._servers[action.endpoint_id], now)
         request.attempt_count += 1
         request.in_flight.append(attempt)
-        if request.answer is not None or timeout <= 0 or attempt.number >= self._max_attempts:
+        if request.outcome is not None or timeout <= 0 or attempt.number >= self._max_attempts:
             request.quota.in_flight += 1
             self._clock.call_at(now, self.end, attempt, Outcome.REQUEST_OVER)
             return
@@ -64,7 +64,7 @@
                 self._clock.call_at(self._clock.now, self.end, attempt, Outcome.CANCELLED)
 
     def server_replied(self, attempt: Attempt, outcome: Outcome) -> None:
-        """A server is done with an attempt: its answer sets out for the limiter."""
+        """A server is done with an attempt: its response sets out for the limiter."""
         attempt.is_over = True
         self._network.call_after_delay(attempt.limiter.zone, attempt.server.zone, self.end, attempt, outcome)
 
@@ -77,15 +77,15 @@
         request = attempt.request
         if outcome not in NEVER_RAN:
             request.may_have_run = True
-        if outcome is Outcome.OK and request.answer is None:
-            self._ledger.answer(request, FinalAnswer.SERVED)
+        if outcome is Outcome.OK and request.outcome is None:
+            self._ledger.end(request, RequestOutcome.SERVED)
         event = AttemptEnded(
             request_id=request.event.id,
             attempt=attempt.number,
             endpoint_id=attempt.server.id,
             outcome=outcome,
             latency=self._clock.now - attempt.sent_at,
-            request_finished=request.answer is not None,
+            request_finished=request.outcome is not None,
         )
         attempt.limiter.feed(event)
         self._ledger.forget_if_over(attempt.limiter, request)
--- a/scale/hollow/clients.py
+++ b/scale/hollow/clients.py
@@ -10,7 +10,7 @@
 from scale.hollow.customers import Arrivals, Customer
 from scale.hollow.limiters import Limiter, LimiterHost
 from scale.hollow.requests import Request, RequestLedger
-from scale.hollow.tally import FinalAnswer
+from scale.hollow.tally import RequestOutcome
 
 UNITS_PER_REQUEST = 1.0
 
@@ -62,11 +62,11 @@
     def request_rejected(self, limiter: Limiter, request_id: int) -> None:
         """Carry out RejectRequest; the client of a first request may retry."""
         request = limiter.requests.get(request_id)
-        if request is None or request.answer is not None:
+        if request is None or request.outcome is not None:
             return
         if request.attempt_count == 0 and request.quota.is_half_free(self._clock.now):
             self._tally.request_rejected_within_quota(request.arrived)
-        self._ledger.finish(limiter, request_id, FinalAnswer.REJECTED)
+        self._ledger.finish(limiter, request_id, RequestOutcome.REJECTED)
         if not request.event.is_retry and self._rng.random() < self._parameters.retry_probability:
             self._schedule_retry(limiter, request)
 
@@ -94,7 +94,7 @@
         self.sent_count += 1
         self._tally.request_arrived(now)
         if not limiter.is_up:
-            self._tally.request_answered(now, now, FinalAnswer.UNREACHABLE, planned.is_retry)
+            self._tally.request_ended(now, now, RequestOutcome.UNREACHABLE, planned.is_retry)
             return
         self._last_request_id += 1
         event = ClientRequest(
@@ -146,17 +146,17 @@
     def _expire(self, limiter: Limiter, incarnation: int, request: Request) -> None:
         """End a request at its deadline: attempts time out.
 
-        The driver answers if the policy engine did not.
+        The driver ends the request if the policy engine did not.
         """
         if limiter.incarnation != incarnation or request.event.id not in limiter.requests:
             return
         request.expires_at = self._clock.now
         for attempt in request.in_flight[:]:
             self._attempts.end(attempt, Outcome.TIMEOUT)
-        if request.answer is None:
+        if request.outcome is None:
             is_idempotent = self._classes[request.event.request_class].is_idempotent
             may_retry = not request.may_have_run or is_idempotent
-            self._ledger.answer(request, FinalAnswer.REJECTED if may_retry else FinalAnswer.FAILED)
-            self._tally.answered_by_driver += 1
+            self._ledger.end(request, RequestOutcome.REJECTED if may_retry else RequestOutcome.FAILED)
+            self._tally.ended_by_driver += 1
             limiter.feed(ClientDisconnected(request.event.id))
         self._ledger.forget_if_over(limiter, request)
--- a/scale/hollow/limiters.py
+++ b/scale/hollow/limiters.py
@@ -38,7 +38,7 @@
 from scale.hollow.network import GossipNetwork
 from scale.hollow.plan import ClassParameters, HollowExperiment, PlanParameters
 from scale.hollow.requests import Request, RequestLedger
-from scale.hollow.tally import FinalAnswer
+from scale.hollow.tally import RequestOutcome
 
 
 class Limiter:
@@ -121,7 +121,7 @@
     """Takes the policy engines' rejections: clients may retry."""
 
     def request_rejected(self, limiter: Limiter, request_id: int) -> None:
-        """Give the request its final answer."""
+        """Give the request its final outcome."""
 
 
 class LimiterHost:
@@ -167,8 +167,8 @@
         for request in lost_requests:
             for attempt in request.in_flight[:]:
                 self.attempts.release(attempt)
-            if request.answer is None:
-                self._ledger.answer(request, FinalAnswer.KILLED)
+            if request.outcome is None:
+                self._ledger.end(request, RequestOutcome.KILLED)
 
     def _carry_out(self, limiter: Limiter, engine: PolicyEngine, action: Action) -> None:
         match action:
@@ -180,7 +180,7 @@
             case RejectRequest():
                 self.clients.request_rejected(limiter, action.request_id)
             case FailRequest():
-                self._ledger.finish(limiter, action.request_id, FinalAnswer.FAILED)
+                self._ledger.finish(limiter, action.request_id, RequestOutcome.FAILED)
             case IncrementCounter():
                 self._increment_counter(limiter, action)
             case BroadcastGossip():
--- a/scale/hollow/plan.py
+++ b/scale/hollow/plan.py
@@ -214,7 +214,7 @@
 
 
 class CounterOutage(_LastingFault, frozen=True, tag="counter-outage"):
-    """No call is answered."""
+    """The counter replies to no call."""
 
 
 class DiscoveryOutage(_LastingFault, frozen=True, tag="discovery-outage"):
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients and their attempts, from a request's arrival to its one final answer."""
+"""Requests of clients and their attempts, from a request's arrival to its one final outcome."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from scale.hollow.context import Context
 from scale.hollow.quota import Quota
 from scale.hollow.server import Server, ServerJob
-from scale.hollow.tally import FinalAnswer
+from scale.hollow.tally import RequestOutcome
 
 
 class RequestOwner(Protocol):
@@ -34,25 +34,25 @@
     """One request of a client, a first one or a retry, at one limiter."""
 
     __slots__ = (
-        "answer",
         "arrived",
         "attempt_count",
         "event",
         "expires_at",
         "in_flight",
         "may_have_run",
+        "outcome",
         "quota",
         "work",
     )
 
     def __init__(self, event: ClientRequest, arrived: float, quota: Quota, work: float) -> None:
-        """Wait for the final answer, with no attempt made; `work` in ms of one core."""
+        """Wait for the final outcome, with no attempt made; `work` in ms of one core."""
         self.event = event
         self.arrived = arrived
         self.expires_at = event.expires_at
         self.quota = quota
         self.work = work
-        self.answer: FinalAnswer | None = None
+        self.outcome: RequestOutcome | None = None
         self.attempt_count = 0
         self.may_have_run = False
         self.in_flight: list[Attempt] = []
@@ -77,7 +77,7 @@
 
 
 class RequestLedger:
-    """Gives requests their final answers, counts them, and forgets requests that are over."""
+    """Gives requests their final outcomes, counts them, and forgets requests that are over."""
 
     def __init__(self, context: Context) -> None:
         """Count into the context's tally."""
@@ -89,24 +89,28 @@
         limiter.requests[request.event.id] = request
         self._tally.open_requests += 1
 
-    def answer(self, request: Request, answer: FinalAnswer) -> None:
-        """Give the final answer. Raises AssertionError if there was one: every simulation checks this."""
-        if request.answer is not None:
-            message = f"request {request.event.id}: {answer.value} after {request.answer.value}"
+    def end(self, request: Request, outcome: RequestOutcome) -> None:
+        """End a request for its client.
+
+        Raises:
+            AssertionError: it had ended before, which every simulation checks.
+        """
+        if request.outcome is not None:
+            message = f"request {request.event.id}: {outcome.value} after {request.outcome.value}"
             raise AssertionError(message)
-        request.answer = answer
+        request.outcome = outcome
         self._tally.open_requests -= 1
-        self._tally.request_answered(request.arrived, self._clock.now, answer, request.event.is_retry)
+        self._tally.request_ended(request.arrived, self._clock.now, outcome, request.event.is_retry)
 
-    def finish(self, limiter: RequestOwner, request_id: int, answer: FinalAnswer) -> None:
-        """Carry out the policy engine's final answer; one for a request that has been answered is dropped."""
+    def finish(self, limiter: RequestOwner, request_id: int, outcome: RequestOutcome) -> None:
+        """Carry out the policy engine's final outcome; one for a request that has its outcome is dropped."""
         request = limiter.requests.get(request_id)
-        if request is None or request.answer is not None:
+        if request is None or request.outcome is not None:
             return
-        self.answer(request, answer)
+        self.end(request, outcome)
         self.forget_if_over(limiter, request)
 
     def forget_if_over(self, limiter: RequestOwner, request: Request) -> None:
-        """Forget a request that is answered and has no attempt in flight."""
-        if request.answer is not None and not request.in_flight:
+        """Forget a request that has its outcome and no attempt in flight."""
+        if request.outcome is not None and not request.in_flight:
             limiter.requests.pop(request.event.id, None)
--- a/scale/hollow/run.py
+++ b/scale/hollow/run.py
@@ -24,7 +24,11 @@
 
 
 def run(experiment: HollowExperiment, record: Record, progress: Progress) -> None:
-    """Play it to the last answer. Raises AssertionError if a request got none or more than one."""
+    """Play it until every request has ended.
+
+    Raises:
+        AssertionError: a request got no final outcome, or more than one.
+    """
     with _without_garbage_collection():
         simulation = Simulation(experiment)
         servers = len(simulation.servers.servers)
@@ -54,13 +58,13 @@
 
 
 def check(simulation: Simulation) -> None:
-    """Raise AssertionError unless every request has one final answer and no attempt is left."""
+    """Raise AssertionError unless every request has one final outcome and no attempt is left."""
     tally = simulation.tally
     if tally.open_requests:
         message = f"{tally.open_requests} requests were never answered"
         raise AssertionError(message)
-    if tally.all_answers != simulation.clients.sent_count:
-        message = f"{simulation.clients.sent_count} tries and {tally.all_answers} answers"
+    if tally.ended_requests != simulation.clients.sent_count:
+        message = f"{simulation.clients.sent_count} tries and {tally.ended_requests} answers"
         raise AssertionError(message)
     in_flight = sum(customer.quota.in_flight for customer in simulation.customers)
     if in_flight:
@@ -128,20 +132,20 @@
 
 def _request_figures(simulation: Simulation) -> dict[str, Any]:
     tally = simulation.tally
-    answers = {answer.value: count for answer, count in tally.answers.items()}
+    outcomes = {outcome.value: count for outcome, count in tally.request_outcomes.items()}
     return {
         "tries": tally.requests,
         "retries": tally.retries,
-        **answers,
-        "by_driver": tally.answered_by_driver,
-        "served_share": ratio(answers["served"], tally.requests),
-        "refused_share": ratio(answers["refused"], tally.requests),
+        **outcomes,
+        "by_driver": tally.ended_by_driver,
+        "served_share": ratio(outcomes["served"], tally.requests),
+        "refused_share": ratio(outcomes["refused"], tally.requests),
         "refused_with_room_share": ratio(tally.rejected_within_quota, tally.requests),
         "units_sent_on": tally.units,
         "units_beyond": tally.units_beyond_quota,
         "beyond_share": ratio(tally.units_beyond_quota, tally.units),
         "attempts": tally.attempts,
-        "outcomes": _outcome_counts(tally.outcomes),
+        "outcomes": _outcome_counts(tally.attempt_outcomes),
         "latency_ms": _named_quantiles(tally.latencies, MAX_LATENCY_US, 0.001),
     }
 
--- a/scale/hollow/tally.py
+++ b/scale/hollow/tally.py
@@ -15,7 +15,7 @@
 RECOVERED_RATIO = 1.5  # to the level before a fault, below which a window counts as recovered
 
 
-class FinalAnswer(Enum):
+class RequestOutcome(Enum):
     """How a request ended for its client; the values are keys of the result lines."""
 
     SERVED = "served"
@@ -26,7 +26,7 @@
 
 
 class Tally:
-    """Counts of the whole fleet; requests that arrive during the warm-up count only in `all_answers`."""
+    """Counts of the whole fleet; requests that arrive during the warm-up count only in `ended_requests`."""
 
     def __init__(self, experiment: HollowExperiment) -> None:
         """Count nothing yet."""
@@ -35,15 +35,15 @@
         self.attempts = 0
         self.gossip_messages = 0
         self.open_requests = 0
-        self.answered_by_driver = 0
-        self.answers = dict.fromkeys(FinalAnswer, 0)
-        self.all_answers = 0
+        self.ended_by_driver = 0
+        self.request_outcomes = dict.fromkeys(RequestOutcome, 0)
+        self.ended_requests = 0
         self.rejected_within_quota = 0
         self.units = 0.0  # forwarded
         self.units_beyond_quota = 0.0  # of these
         self.bins = [0.0] * (math.ceil(experiment.duration / BIN_MS) + 1)  # units beyond quotas
         self.latencies: dict[int, int] = {}  # how often each latency occurred, by us
-        self.outcomes = dict.fromkeys(Outcome, 0)
+        self.attempt_outcomes = dict.fromkeys(Outcome, 0)
         self._warm_up = experiment.warm_up
         self._duration = experiment.duration
         self._window = experiment.window
@@ -52,14 +52,14 @@
         """A client sends a request now."""
         self.requests += now >= self._warm_up
 
-    def request_answered(self, arrived: float, now: float, answer: FinalAnswer, is_retry: bool) -> None:
-        """A request that arrived at `arrived` gets its final answer now."""
-        self.all_answers += 1
+    def request_ended(self, arrived: float, now: float, outcome: RequestOutcome, is_retry: bool) -> None:
+        """A request that arrived at `arrived` ends with that outcome now."""
+        self.ended_requests += 1
         if arrived < self._warm_up:
             return
         self.retries += is_retry
-        self.answers[answer] += 1
-        if answer is FinalAnswer.SERVED:
+        self.request_outcomes[outcome] += 1
+        if outcome is RequestOutcome.SERVED:
             latency = round(1000 * (now - arrived))
             self.latencies[latency] = self.latencies.get(latency, 0) + 1
 
@@ -80,7 +80,7 @@
 
     def attempt_ended(self, outcome: Outcome) -> None:
         """A limiter learns how an attempt ended."""
-        self.outcomes[outcome] += 1
+        self.attempt_outcomes[outcome] += 1
 
     def recovery(self, fault_at: float) -> dict[str, float | None]:
         """How long after a fault units beyond quotas are back under 1.5 times those before it, for good.
--- a/scale/process/clients.py
+++ b/scale/process/clients.py
@@ -24,7 +24,7 @@
     ) -> None:
         """Send requests to `address`, a limiter of a fleet of that size."""
         self.sent = 0
-        self.unanswered = 0  # requests whose connection could not be made, or was closed too early
+        self.failed = 0  # requests whose connection could not be made, or was closed too early
         self.statuses: Tally[int] = Tally()
         self.added_latencies: list[float] = []  # s that a served request took longer than at its server
         self._address = address
@@ -52,8 +52,8 @@
         task.add_done_callback(self._connecting.discard)
 
     async def wait_until_all_ended(self) -> None:
-        """Wait until every request that was sent is answered, or is known never to be."""
-        while self.statuses.total() + self.unanswered < self.sent:
+        """Wait until every request that was sent has its response, or is known never to get one."""
+        while self.statuses.total() + self.failed < self.sent:
             self._request_ended.clear()
             await self._request_ended.wait()
 
@@ -67,16 +67,16 @@
         self._open.add(connection)
 
     def connection_lost(self, connection: _ClientConnection) -> None:
-        """A connection is gone, and the request on it, if any, is never answered."""
+        """A connection is closed, and the request on it, if any, never gets a response."""
         self._open.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
         if connection.request_id is not None:
             connection.request_id = None
-            self._count_unanswered()
+            self._count_failed()
 
-    def answered(self, request_id: bytes, status: int, latency: float) -> None:
-        """A request got its answer `latency` seconds after it was written."""
+    def response_received(self, request_id: bytes, status: int, latency: float) -> None:
+        """A request got its whole response `latency` seconds after it was written."""
         self.statuses[status] += 1
         service_time = self._servers.service_times.pop(request_id, None)
         if status == 200 and service_time is not None:
@@ -93,10 +93,10 @@
             _, connection = await loop.create_connection(lambda: _ClientConnection(self), *self._address)
             connection.send(request_id, data)
         except OSError:
-            self._count_unanswered()
+            self._count_failed()
 
-    def _count_unanswered(self) -> None:
-        self.unanswered += 1
+    def _count_failed(self) -> None:
+        self.failed += 1
         self._request_ended.set()
 
 
@@ -152,13 +152,13 @@
         head = self._received[:head_length]
         if len(self._received) < head_length + len(HEAD_END) + content_length(head):
             return
-        self._answer_received(self.request_id, head)
+        self._end_response(self.request_id, head)
 
-    def _answer_received(self, request_id: bytes, head: bytes) -> None:
+    def _end_response(self, request_id: bytes, head: bytes) -> None:
         self._received = b""
         self.request_id = None
         status = int(head.split(b" ", 2)[1])
-        self._clients.answered(request_id, status, time.monotonic() - self._sent_at)
+        self._clients.response_received(request_id, status, time.monotonic() - self._sent_at)
         if b"connection: close" in head.lower():
             self._transport.close()
         else:
--- a/scale/process/counter.py
+++ b/scale/process/counter.py
@@ -42,7 +42,7 @@
         self._listener.close()
 
     def call(self, words: list[bytes]) -> bytes:
-        """The answer to one call."""
+        """Carry out one call; return the reply in RESP2."""
         if words[0].upper() == b"PING":
             return b"+PONG\r\n"
         try:
--- a/scale/process/discovery.py
+++ b/scale/process/discovery.py
@@ -15,10 +15,10 @@
 
 
 class Discovery:
-    """The discovery agent: a watch is answered once there are changes, or when its time is over."""
+    """The discovery agent: a watch ends once there are changes, or when its time is over."""
 
     def __init__(self, endpoints: EndpointList) -> None:
-        """Answer with that list and its changes."""
+        """Serve that list and its changes."""
         self.traffic = Traffic()
         self.calls = 0
         self.full_lists = 0  # calls for the whole list
@@ -39,35 +39,35 @@
         return address
 
     def change(self) -> None:
-        """Change the list, and answer all watches."""
+        """Change the list, and end all watches."""
         self.endpoints.change(round(time.time() * 1000))
         for connection in list(self.watches):
-            self.answer_watch(connection)
+            self.end_watch(connection)
 
     def close(self) -> None:
         """Stop listening."""
         self._listener.close()
 
     def request_received(self, connection: _DiscoveryConnection, head: bytes) -> None:
-        """Answer a call for the whole list, or begin a watch."""
+        """Respond to a call for the whole list, or begin a watch."""
         self.calls += 1
         target = head.split(b" ", 2)[1]
         if target == FULL_LIST_TARGET:
             self.full_lists += 1
-            connection.answer(200, self.endpoints.full_document())
+            connection.respond(200, self.endpoints.full_document())
             return
         watch = WATCH_TARGET.fullmatch(target)
         if watch is None:
             self.malformed_calls += 1
-            connection.answer(400, b"")
+            connection.respond(400, b"")
             return
         self._begin_watch(connection, int(watch[1]), int(watch[2]))
 
-    def answer_watch(self, connection: _DiscoveryConnection) -> None:
-        """End a watch with what changed since its version, which may be nothing."""
+    def end_watch(self, connection: _DiscoveryConnection) -> None:
+        """End a watch: respond with the changes since its version, which may be none."""
         version, timer = self.watches.pop(connection)
         timer.cancel()
-        connection.answer(200, self.endpoints.changes_since(version))
+        connection.respond(200, self.endpoints.changes_since(version))
 
     def cancel_watch(self, connection: _DiscoveryConnection) -> None:
         """End the watch of a closed connection, if it has one."""
@@ -78,10 +78,10 @@
     def _begin_watch(self, connection: _DiscoveryConnection, version: int, timeout_ms: int) -> None:
         self.acknowledged_version = max(self.acknowledged_version, version)
         timeout = min(MAX_WATCH_MS, timeout_ms) / 1000
-        timer = asyncio.get_running_loop().call_later(timeout, self.answer_watch, connection)
+        timer = asyncio.get_running_loop().call_later(timeout, self.end_watch, connection)
         self.watches[connection] = version, timer
         if version != self.endpoints.version:
-            self.answer_watch(connection)
+            self.end_watch(connection)
 
 
 class _DiscoveryConnection(HttpProtocol):
--- a/scale/process/endpoint_list.py
+++ b/scale/process/endpoint_list.py
@@ -52,13 +52,13 @@
         return json.loads(self.full_document())
 
     def full_document(self) -> bytes:
-        """The body of an answer with the whole list."""
+        """The body of a response with the whole list."""
         if self._full_document is None:
             self._full_document = self._document(True, b",\n".join(self._entries.values()))
         return self._full_document
 
     def changes_since(self, version: int) -> bytes:
-        """The body of an answer with what changed since; the whole list where that is not known any more."""
+        """The body of a response with the changes since a version; the whole list if they are not kept."""
         count = self.version - version
         if not 0 <= count <= len(self._changes):
             return self.full_document()
--- a/scale/process/engine_benchmark.py
+++ b/scale/process/engine_benchmark.py
@@ -84,7 +84,7 @@
             self.gossip_senders.add(sender)
 
     def request(self, number: int, customer: int) -> list[SendAttempt]:
-        """A request of that customer; the counter answers its calls at once.
+        """Send a request of that customer; the counter replies to its calls at once.
 
         Returns the attempts that it led to, one at most.
         """
--- a/scale/process/limiter_process.py
+++ b/scale/process/limiter_process.py
@@ -97,7 +97,7 @@
 
 
 async def _health_status(address: tuple[str, int]) -> int:
-    """Status of the answer to a health check; 0 without one."""
+    """Status of the response to a health check; 0 without one."""
     writer = None
     try:
         async with asyncio.timeout(HEALTH_TIMEOUT_SECONDS):
--- a/scale/process/phases.py
+++ b/scale/process/phases.py
@@ -18,7 +18,7 @@
 from scale.process.limiter_process import LimiterProcess
 from scale.process.plan import ProcessExperiment
 
-ANSWER_TIMEOUT_SECONDS = 4.0  # after the last request: its deadline and a second
+RESPONSE_TIMEOUT_SECONDS = 4.0  # after the last request: its deadline and a second
 MAX_LATENCY_US = 60_000_000  # of the histogram
 
 
@@ -67,13 +67,13 @@
     for phase in phases_of(environment.experiment):
         await asyncio.sleep(environment.experiment.settle_s)
         measurement = await _play_phase(environment, limiter, clients, phase)
-        await _wait_for_answers(clients)
+        await _wait_for_responses(clients)
         additional_cores = 0.0 if cores_before is None else measurement.cores - cores_before
         cores_before = measurement.cores
         lines.append(
             {
                 **_cost_figures(phase, measurement, additional_cores),
-                **_answer_figures(clients),
+                **_response_figures(clients),
                 "stand_ins_late_p99_ms": _percentile_ms(environment.delays, 99.0),
                 "tier": _fleet_figures(environment, phase, measurement.counts, clients.sent),
             }
@@ -101,9 +101,9 @@
     return Measurement(elapsed, processor_seconds, counts)
 
 
-async def _wait_for_answers(clients: Clients) -> None:
+async def _wait_for_responses(clients: Clients) -> None:
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_SECONDS):
             await clients.wait_until_all_ended()
 
 
@@ -127,7 +127,7 @@
     return figures
 
 
-def _answer_figures(clients: Clients) -> dict[str, Any]:
+def _response_figures(clients: Clients) -> dict[str, Any]:
     """What came back, by status, and the latency added to what was served.
 
     That latency is the time from writing a request to reading its whole response, less the server's own time.
--- a/scale/process/servers.py
+++ b/scale/process/servers.py
@@ -9,17 +9,19 @@
 from scale.process.traffic import HttpProtocol, Traffic, listen
 
 REQUEST_ID = re.compile(rb"(?i)\r\nx-request-id: *([0-9a-f]+)")
-ANSWER_BODY = b'{"height_m":1.4,"period_s":7.1,"wind_ms":6.2}' * 4
+RESPONSE_BODY = b'{"height_m":1.4,"period_s":7.1,"wind_ms":6.2}' * 4
 
 
 class Servers:
-    """Servers: all that share a socket answer alike, each request after the same work."""
+    """Servers: all that share a socket respond alike, to each request after the same work."""
 
     def __init__(self, work_ms: float) -> None:
-        """Answer each request after `work_ms`."""
+        """Respond to each request after `work_ms`."""
         self.traffic = Traffic()
-        self.service_times: dict[bytes, float] = {}  # by request id: s from its last byte to its answer
-        self.answered = 0
+        self.service_times: dict[
+            bytes, float
+        ] = {}  # by request id: seconds from its last byte to the response
+        self.response_count = 0
         self.without_id = 0
         self.addresses: list[str] = []
         self._work_seconds = work_ms / 1000
@@ -38,19 +40,19 @@
             listener.close()
 
     def request_received(self, connection: HttpProtocol, head: bytes) -> None:
-        """Answer a request after its work; one without an id at once, with 404."""
+        """Respond to a request after its work; to one without an id at once, with 404."""
         request_id = REQUEST_ID.search(head)
         if request_id is None:
             self.without_id += 1
-            connection.answer(404, b"")
+            connection.respond(404, b"")
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(self._work_seconds, self._answer, connection, request_id[1], time.monotonic())
+        loop.call_later(self._work_seconds, self._respond, connection, request_id[1], time.monotonic())
 
-    def _answer(self, connection: HttpProtocol, request_id: bytes, received_at: float) -> None:
-        self.answered += 1
+    def _respond(self, connection: HttpProtocol, request_id: bytes, received_at: float) -> None:
+        self.response_count += 1
         self.service_times[request_id] = time.monotonic() - received_at
-        connection.answer(200, ANSWER_BODY)
+        connection.respond(200, RESPONSE_BODY)
 
 
 class _ServerConnection(HttpProtocol):
--- a/scale/process/traffic.py
+++ b/scale/process/traffic.py
@@ -47,13 +47,13 @@
 
 
 class HttpProtocol(CountedProtocol):
-    """One connection on which requests come one by one; a subclass answers each, at once or later."""
+    """One connection on which requests come one by one; a subclass responds to each, at once or later."""
 
     def __init__(self, traffic: Traffic) -> None:
         """Wait for the first request."""
         super().__init__(traffic)
         self._received = b""
-        self._unwritten = memoryview(b"")  # of a long answer
+        self._unwritten = memoryview(b"")  # the rest of a long response
         self._is_paused = False
 
     def pause_writing(self) -> None:
@@ -81,8 +81,8 @@
         """A request is complete; `head` ends before the empty line."""
         raise NotImplementedError
 
-    def answer(self, status: int, body: bytes) -> None:
-        """Answer the request."""
+    def respond(self, status: int, body: bytes) -> None:
+        """Send the response to the request that was received last."""
         head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n".encode()
         self._unwritten = memoryview(head + body)
         self._write_pieces()
@@ -96,7 +96,7 @@
 
 
 def content_length(head: bytes) -> int:
-    """Length of the body that the head of a request or an answer announces, in bytes."""
+    """Length of the body that the head of a request or a response announces, in bytes."""
     match = CONTENT_LENGTH.search(head)
     return int(match[1]) if match else 0
 
--- a/tests/scale/test_hollow_simulated_peers.py
+++ b/tests/scale/test_hollow_simulated_peers.py
@@ -41,7 +41,7 @@
 
 
 class ServerBench:
-    """A server that works 100 ms of one core on the mean request, and the outcomes that it answered with."""
+    """A server that works 100 ms of one core on the mean request, and the outcomes that it reported."""
 
     def __init__(self, started_at: float, **parameters: Any) -> None:
         """Set keys of the experiment's table `servers`."""
--- a/tests/scale/test_hollow_simulation.py
+++ b/tests/scale/test_hollow_simulation.py
@@ -1,4 +1,4 @@
-"""Simulations of hollow experiments: figures are determined by the seed, and gossip reaches whom it should."""
+"""Simulations of hollow experiments: the seed determines the figures, and gossip reaches whom it should."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from scale.hollow.plan import HollowExperiment
 from scale.hollow.run import check, run
 from scale.hollow.simulation import Simulation
-from scale.hollow.tally import FinalAnswer, Tally
+from scale.hollow.tally import RequestOutcome, Tally
 from tests.support.hollow_experiment import hollow_experiment
 
 MAX_GOSSIP_DELAY_MS = 36
@@ -52,14 +52,14 @@
     return simulation
 
 
-def test_the_seed_determines_every_byte_and_each_request_has_one_answer() -> None:
+def test_the_seed_determines_every_byte_and_each_request_has_one_outcome() -> None:
     experiment = hollow_experiment(faults=FAULTS, regions=3)
     lines = result_lines(experiment)
     assert lines == result_lines(experiment)
     assert lines != result_lines(msgspec.structs.replace(experiment, seed=2))
     summary = json.loads(lines[0])
-    answers = ("served", "refused", "failed", "lost", "unreachable")
-    assert sum(summary[answer] for answer in answers) == summary["tries"] > 50
+    outcomes = ("served", "refused", "failed", "lost", "unreachable")
+    assert sum(summary[outcome] for outcome in outcomes) == summary["tries"] > 50
     assert summary["served"] > 0
     assert summary["refused"] > 0
     assert summary["unreachable"] > 0
@@ -74,10 +74,10 @@
         simulation.run(simulation.clock.now + 10.0)
     with pytest.raises(AssertionError, match="never answered"):
         check(simulation)
-    request = next(request for request in limiter.requests.values() if request.answer is None)
-    simulation.ledger.answer(request, FinalAnswer.SERVED)
+    request = next(request for request in limiter.requests.values() if request.outcome is None)
+    simulation.ledger.end(request, RequestOutcome.SERVED)
     with pytest.raises(AssertionError, match="refused after served"):
-        simulation.ledger.answer(request, FinalAnswer.REJECTED)
+        simulation.ledger.end(request, RequestOutcome.REJECTED)
 
 
 def test_all_usage_is_learnt_within_the_gossip_interval_where_no_message_is_dropped() -> None:
--- a/tests/scale/test_process_emulated_peers.py
+++ b/tests/scale/test_process_emulated_peers.py
@@ -34,7 +34,7 @@
 
 
 def read_document(document: Any) -> tuple[int, bool, list[Endpoint]]:
-    """Read discovery's answer as the limiter does: version, whether it is the whole list, entries."""
+    """Read discovery's response as the limiter does: version, whether it is the whole list, entries."""
     version, is_full_list, entries = members(document, NameNumbering((), ()))
     return version, is_full_list, [endpoint for endpoint, _ in entries]
 
@@ -69,15 +69,15 @@
 
 
 async def exchange(address: str, *requests: bytes) -> list[tuple[int, bytes]]:
-    """Send requests one after another on one connection; status and body of each answer."""
-    answers = []
+    """Send requests one after another on one connection; status and body of each response."""
+    responses = []
     async with connected(address) as (reader, writer):
         for request in requests:
             writer.write(request)
             head = await reader.readuntil(EMPTY_LINE)
             length = int(head.split(b"Content-Length: ")[1].split(b"\r\n")[0])
-            answers.append((int(head.split()[1]), await reader.readexactly(length)))
-    return answers
+            responses.append((int(head.split()[1]), await reader.readexactly(length)))
+    return responses
 
 
 def catalog_request(query: bytes = b"") -> bytes:
@@ -102,7 +102,7 @@
         assert (version, is_full_list, len(changed)) == (count + 1, False, 1)
         states |= states_of(changed)
     listed = {key: state for key, state in states.items() if state is not EndpointState.GONE}
-    # Changes since version 0 are not known, so that the whole list is the answer.
+    # Changes since version 0 are not known, so that the whole list is the response.
     _, is_full_list, endpoints = read_document(json.loads(endpoint_list.changes_since(0)))
     assert is_full_list
     assert listed == states_of(endpoints)
@@ -162,7 +162,7 @@
         [b"GET", b"a"],
     ],
 )
-def test_the_counter_answers_a_malformed_call_with_an_error(words: list[bytes]) -> None:
+def test_the_counter_replies_to_a_malformed_call_with_an_error(words: list[bytes]) -> None:
     counter = Counter(0)
     assert counter.call(words).startswith(b"-ERR")
     assert (counter.added_calls, counter.malformed_calls, counter.totals) == (0, 1, {})
@@ -170,12 +170,12 @@
 
 def test_the_counter_is_busy_beyond_its_calls_a_second() -> None:
     counter = Counter(3)
-    answers = [counter.call([b"CNT.ADD", b"a", b"1", b"1"]) for _ in range(10)]
-    assert 4 <= answers.count(b"-BUSY\r\n") <= 7  # 7 in one second; a second may begin between
+    replies = [counter.call([b"CNT.ADD", b"a", b"1", b"1"]) for _ in range(10)]
+    assert 4 <= replies.count(b"-BUSY\r\n") <= 7  # 7 in one second; a second may begin between
     assert counter.totals[b"a"] == counter.added_calls == 10 - counter.busy_calls
 
 
-def test_calls_of_the_counter_are_answered_in_their_order() -> None:
+def test_the_counter_replies_to_calls_in_their_order() -> None:
     async def scenario() -> list[Any]:
         counter = Counter(0)
         replies = hiredis.Reader()
@@ -194,7 +194,7 @@
     assert asyncio.run(scenario()) == [b"1", b"PONG", b"2.5"]
 
 
-def test_discovery_answers_calls_and_watches() -> None:
+def test_discovery_responds_to_calls_and_watches() -> None:
     async def scenario() -> None:
         with closing(Discovery(EndpointList(3, ["127.0.0.1:1"]))) as discovery:
             full_list, no_change, malformed = await exchange(
@@ -230,7 +230,7 @@
     asyncio.run(scenario())
 
 
-def test_a_server_answers_each_request_once() -> None:
+def test_a_server_responds_to_each_request_once() -> None:
     async def scenario() -> None:
         with closing(Servers(work_ms=1.0)) as servers:
             await servers.start(2)
@@ -238,13 +238,13 @@
                 servers.addresses[1], order_request(b"0a"), b"GET /ping HTTP/1.1\r\n\r\n"
             )
             assert (served[0], without_id[0]) == (200, 404)
-            assert (servers.answered, servers.without_id) == (1, 1)
+            assert (servers.response_count, servers.without_id) == (1, 1)
             assert list(servers.service_times) == [b"0a"]
 
     asyncio.run(scenario())
 
 
-def test_a_server_does_not_answer_an_incomplete_request() -> None:
+def test_a_server_does_not_respond_to_an_incomplete_request() -> None:
     async def scenario() -> None:
         with closing(Servers(work_ms=1.0)) as servers:
             await servers.start(1)
@@ -252,7 +252,7 @@
                 writer.write(order_request(b"0a")[:-1])
                 await writer.drain()
                 await exchange(servers.addresses[0], order_request(b"0b"))
-                assert servers.answered == 1
+                assert servers.response_count == 1
                 assert set(servers.service_times) == {b"0b"}
                 assert servers.traffic.connections == 2
 
--- a/tests/scale/test_process_experiments.py
+++ b/tests/scale/test_process_experiments.py
@@ -40,7 +40,7 @@
 
 
 def check_phase_line(line: Line) -> None:
-    """The emulated peers did what the phase says, and each request got an answer."""
+    """The emulated peers did what the phase says, and each request got a response."""
     phase = line["phase"]
     assert line["datagrams_in"] == (0 if phase == "idle" else 10)
     assert line["changes"] == (6 if phase in ("changes", "load") else 0)
