--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Annotated, Any, TextIO
+from typing import Annotated, TextIO, TypedDict
 
 import typer
 
@@ -20,6 +20,14 @@
 EXIT_CODE_WRONG_FILE = 2
 OUT_OPTION = "--out"
 
+
+class OwnCost(TypedDict):
+    """What the run itself took, as the last result line."""
+
+    wall_s: float
+    peak_resident_mib: int
+
+
 app = typer.Typer(add_completion=False, help="Experiments on limiters at size.")
 
 
@@ -68,7 +76,7 @@
     print(text, file=sys.stderr, flush=True)
 
 
-def _own_cost(started_at: float) -> dict[str, Any]:
+def _own_cost(started_at: float) -> OwnCost:
     peak_kib = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     seconds = time.monotonic() - started_at
     return {"wall_s": round(seconds, 1), "peak_resident_mib": round(peak_kib / 1024)}
--- a/scale/experiment.py
+++ b/scale/experiment.py
@@ -9,16 +9,17 @@
 import importlib
 import re
 import tomllib
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import msgspec
 
 from scale.errors import ExperimentError
 
 Experiment = msgspec.Struct
-Record = Callable[[dict[str, Any]], None]
+ResultLine = Mapping[str, object]  # by key; the values are JSON's types
+Record = Callable[[ResultLine], None]
 Progress = Callable[[str], None]
 
 KIND_KEY = "kind"
@@ -67,7 +68,7 @@
     importlib.import_module(kind.runner).run(experiment, record, progress)
 
 
-def _read_toml(path: Path) -> dict[str, Any]:
+def _read_toml(path: Path) -> dict[str, object]:
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
--- a/scale/hollow/__init__.py
+++ b/scale/hollow/__init__.py
@@ -14,7 +14,8 @@
 | `clients`, `requests`, `attempts` | requests and retries, their one final outcome, attempts on servers |
 | `faults` | what an experiment stops, and when it is back |
 | `clock`, `network`, `counter`, `discovery`, `server`, `servers` | the simulated peers |
-| `tally`, `gossip_age`, `run` | what is counted, the age of gossip, the result lines |
+| `tally`, `gossip_age` | what is counted, and the age of gossip |
+| `run`, `result_lines` | running an experiment, and its result lines |
 
 One seed gives the same figures, byte for byte, wherever the pinned packages run.
 """
--- a/scale/hollow/clock.py
+++ b/scale/hollow/clock.py
@@ -5,7 +5,10 @@
 import math
 from collections.abc import Callable, Iterable
 from heapq import heappop, heappush
-from typing import Any
+from typing import Generic, TypeVar, TypeVarTuple
+
+Arguments = TypeVarTuple("Arguments")
+ItemT = TypeVar("ItemT")
 
 
 class VirtualClock:
@@ -14,11 +17,12 @@
     def __init__(self) -> None:
         """Start at time 0 with nothing scheduled."""
         self.now = 0.0
-        self.run_limit = math.inf  # where the current `run` ends
-        self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.run_limit = math.inf  # ms; time at which the present `run` ends
+        # By time, then by the order of scheduling: callbacks and their arguments.
+        self.queue: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._scheduled_count = 0
 
-    def call_at(self, time: float, callback: Callable[..., None], *args: Any) -> None:
+    def call_at(self, time: float, callback: Callable[[*Arguments], None], *args: *Arguments) -> None:
         """Schedule `callback(*args)` at `time`, in ms."""
         self._scheduled_count += 1
         heappush(self.queue, (time, self._scheduled_count, callback, args))
@@ -33,15 +37,15 @@
         self.now = until
 
 
-class FanOut:
+class FanOut(Generic[ItemT]):
     """Delivers one item to many receivers, each at its own time, with one entry of the queue at a time."""
 
     def __init__(
         self,
         clock: VirtualClock,
         deliveries: Iterable[tuple[float, int]],
-        deliver: Callable[[int, Any], None],
-        item: Any,
+        deliver: Callable[[int, ItemT], None],
+        item: ItemT,
     ) -> None:
         """Schedule `deliver(receiver, item)` for all `deliveries`: (time, receiver) in order of time."""
         self._clock = clock
--- a/scale/hollow/customers.py
+++ b/scale/hollow/customers.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
 import numpy as np
+from numpy.typing import NDArray
 
 from scale.hollow.plan import HollowExperiment, PlanParameters, Range, UsageParameters
 from scale.hollow.quota import Quota
 
-Floats = np.ndarray[Any, np.dtype[np.float64]]
-Integers = np.ndarray[Any, np.dtype[np.int64]]
+Floats = NDArray[np.float64]
+Integers = NDArray[np.int64]
 
 
 @dataclass(slots=True)
--- a/scale/hollow/network.py
+++ b/scale/hollow/network.py
@@ -5,13 +5,16 @@
 import math
 from collections.abc import Callable
 from random import Random
-from typing import Any
+from typing import Generic, TypeVar, TypeVarTuple
 
 import numpy as np
 
 from scale.hollow.clock import FanOut, VirtualClock
 from scale.hollow.plan import HollowExperiment, NetworkParameters
 
+Arguments = TypeVarTuple("Arguments")
+MessageT = TypeVar("MessageT")
+
 
 class Topology:
     """Zones and regions of limiters and servers: assigned round robin by number."""
@@ -61,18 +64,20 @@
         """Whether packets pass between two regions."""
         return region == other or not self.partitioned_regions & {region, other}
 
-    def call_after_delay(self, zone: int, other: int, callback: Callable[..., None], *args: Any) -> None:
+    def call_after_delay(
+        self, zone: int, other: int, callback: Callable[[*Arguments], None], *args: *Arguments
+    ) -> None:
         """Schedule `callback(*args)` for the arrival of a packet; it never arrives across a partition."""
         delay = self.delay(zone, other)
         if not math.isinf(delay):
             self.clock.call_at(self.clock.now + delay, callback, *args)
 
 
-class GossipNetwork:
+class GossipNetwork(Generic[MessageT]):
     """Gossip datagrams between limiters: delayed, partly dropped, and rate limited at each receiver."""
 
     def __init__(
-        self, network: Network, experiment: HollowExperiment, deliver: Callable[[int, Any], None]
+        self, network: Network, experiment: HollowExperiment, deliver: Callable[[int, MessageT], None]
     ) -> None:
         """Hand each datagram that arrives to `deliver(receiver, message)`."""
         self.clock = network.clock
@@ -85,7 +90,7 @@
         regions = [network.topology.region(number) for number in range(experiment.limiters)]
         self._regions = np.array(regions)
 
-    def broadcast(self, sender: int, message: Any) -> int:
+    def broadcast(self, sender: int, message: MessageT) -> int:
         """Send one datagram to each other limiter; return how many were sent."""
         parameters = self._parameters
         region = int(self._regions[sender])
@@ -106,7 +111,7 @@
         FanOut(self.clock, deliveries, self._arrived, message)
         return self._limiter_count - 1
 
-    def _arrived(self, receiver: int, message: Any) -> None:
+    def _arrived(self, receiver: int, message: MessageT) -> None:
         if self.intakes[receiver].admit(self.clock.now):
             self.deliver(receiver, message)
 
--- a/scale/hollow/plan.py
+++ b/scale/hollow/plan.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import math
-from typing import Annotated, Any
+from typing import Annotated
 
 import msgspec
 from msgspec import Meta
@@ -37,7 +37,7 @@
 def _check_numbers(table: msgspec.Struct) -> None:
     """Raise ParameterError for a number that is not finite, or a range that is empty."""
     for key, field in zip(table.__struct_encode_fields__, table.__struct_fields__, strict=True):
-        value: Any = getattr(table, field)
+        value: object = getattr(table, field)
         values = value if isinstance(value, tuple) else (value,)
         numbers = [number for number in values if isinstance(number, float | int)]
         _require(all(map(math.isfinite, numbers)), key, "not a finite number")
--- a/scale/hollow/tally.py
+++ b/scale/hollow/tally.py
@@ -5,6 +5,7 @@
 import math
 from collections.abc import Sequence
 from enum import Enum
+from typing import TypedDict
 
 from hdrh.histogram import HdrHistogram
 
@@ -25,6 +26,14 @@
     UNREACHABLE = "unreachable"  # its limiter was down
 
 
+class Recovery(TypedDict):
+    """Units beyond quotas around a fault; each figure is None if it cannot be known."""
+
+    before: float | None  # mean of the windows before the fault
+    worst: float | None  # the most of any window after it
+    recovery_ms: float | None  # until they are back for good
+
+
 class Tally:
     """Counts of the whole fleet; requests that arrive during the warm-up count only in `ended_requests`."""
 
@@ -82,7 +91,7 @@
         """A limiter learns how an attempt ended."""
         self.attempt_outcomes[outcome] += 1
 
-    def recovery(self, fault_at: float) -> dict[str, float | None]:
+    def recovery(self, fault_at: float) -> Recovery:
         """How long after a fault units beyond quotas are back under 1.5 times those before it, for good.
 
         Both in sliding windows; the level before is the mean of all whole windows in the three windows before
--- a/scale/process/endpoint_list.py
+++ b/scale/process/endpoint_list.py
@@ -5,7 +5,6 @@
 import json
 from collections import deque
 from collections.abc import Sequence
-from typing import Any
 
 from scale.process.fleet import MACHINE_TYPE, SERVERS_PER_CELL, ZONES
 
@@ -47,9 +46,10 @@
         self.version += 1
         self._full_document = None
 
-    def parsed_document(self) -> Any:
+    def parsed_document(self) -> object:
         """The list as JSON's types: what a configuration has as the list last seen."""
-        return json.loads(self.full_document())
+        document: object = json.loads(self.full_document())
+        return document
 
     def full_document(self) -> bytes:
         """The body of a response with the whole list."""
--- a/scale/process/engine_sweep.py
+++ b/scale/process/engine_sweep.py
@@ -15,11 +15,11 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
 from random import Random
-from typing import Any
+from typing import TypedDict
 
 from limiter.model.events import Endpoint, EndpointsChanged, EndpointState
 from limiter.policy.usage_gossip import INTAKE_SHARE
-from scale.experiment import Progress, Record
+from scale.experiment import Progress, Record, ResultLine
 from scale.process.engine_benchmark import LATENCY_MS, EngineBenchmark
 from scale.process.fleet import (
     CUSTOMER_IDS,
@@ -51,6 +51,19 @@
 )
 
 
+class MemoryAndCounts(TypedDict):
+    """Memory of the policy engine in MB of 10**6 bytes, and what it took in."""
+
+    servers_mb: float  # growth by the list of servers
+    heard_mb: float  # growth by gossip on all customers
+    asked_mb: float  # growth by a request of each customer
+    resident_mb: float
+    peak_mb: float
+    refused: int  # requests
+    attempts_out: int  # attempts in flight in the last rounds
+    senders_heard: int  # limiters whose gossip was taken in
+
+
 @dataclass(frozen=True, slots=True)
 class Size:
     """One size of a sweep."""
@@ -62,7 +75,7 @@
 
 def run(experiment: PolicyEngineExperiment, record: Record, progress: Progress) -> None:
     """Play all sizes; a record for each, then the slopes over what was swept."""
-    lines = []
+    lines: list[ResultLine] = []
     spawn = multiprocessing.get_context("spawn")
     for sizes in itertools.product(experiment.servers, experiment.limiters, experiment.customers):
         size = Size(*sizes)
@@ -76,9 +89,9 @@
             record(slope)
 
 
-def measure(experiment: PolicyEngineExperiment, size: Size) -> dict[str, Any]:
+def measure(experiment: PolicyEngineExperiment, size: Size) -> ResultLine:
     """Measure one size, in an interpreter of its own; the result line."""
-    figures = {
+    figures: ResultLine = {
         "kind": "module",
         "line": "size",
         "servers": size.servers,
@@ -102,8 +115,8 @@
         self._senders = itertools.cycle(range(1, size.limiters))
         self._population: list[int] = []
 
-    def play(self) -> dict[str, Any]:
-        """Play it once; memory, counts, and what each kind of event took."""
+    def play(self) -> ResultLine:
+        """Play the size once; return memory, counts, and the time of each kind of event."""
         empty_mb = _resident_mb()
         self._list_servers()
         with_servers_mb = _resident_mb()
@@ -117,7 +130,7 @@
         after_requests_mb = _resident_mb()
         in_flight = self._fill_in_flight()
         self._play_rounds("round")
-        return {
+        figures: MemoryAndCounts = {
             "servers_mb": with_servers_mb - empty_mb,
             "heard_mb": after_gossip_mb - before_gossip_mb,
             "asked_mb": after_requests_mb - after_gossip_mb,
@@ -126,8 +139,8 @@
             "refused": rejected,
             "attempts_out": in_flight,
             "senders_heard": len(self._bench.gossip_senders),
-            **self._event_figures(),
         }
+        return {**figures, **self._event_figures()}
 
     def _list_servers(self) -> None:
         restarted = round(self._experiment.restarted * self._size.servers)
@@ -189,8 +202,9 @@
                 break
         return in_flight
 
-    def _event_figures(self) -> dict[str, Any]:
-        figures: dict[str, Any] = {}
+    def _event_figures(self) -> dict[str, float]:
+        """Number, median and 99th percentile, in microseconds, of each of EVENT_NAMES."""
+        figures: dict[str, float] = {}
         for name, processor_ns in self._bench.processor_ns.items():
             figures[f"{name}_n"] = processor_ns.get_total_count()
             figures[f"{name}_us"] = processor_ns.get_value_at_percentile(50.0) / 1000
--- a/scale/process/fleet.py
+++ b/scale/process/fleet.py
@@ -7,7 +7,6 @@
 
 from collections.abc import Sequence
 from random import Random
-from typing import Any
 
 from limiter.codecs.gossip_messages import UsageWriter
 
@@ -20,7 +19,7 @@
 CUSTOMER_IDS = 2**33  # customers are drawn from so many
 
 
-def settings_document(limiters: int, discovery: str) -> dict[str, Any]:
+def settings_document(limiters: int, discovery: str) -> dict[str, object]:
     """The configuration's `settings` of limiter 0 of a fleet of that size."""
     quota = {"beyondCosts": 0.8}
     return {
--- a/scale/process/gossip_peers.py
+++ b/scale/process/gossip_peers.py
@@ -6,7 +6,7 @@
 import socket
 import struct
 from random import Random
-from typing import Any
+from typing import TypedDict
 
 from scale.process.fleet import gossip_message
 from scale.process.traffic import Traffic
@@ -15,6 +15,14 @@
 DATAGRAM_BYTES = 2048  # read at most
 
 
+class GossipConfig(TypedDict):
+    """The keys of a limiter's configuration that are about gossip; addresses are `host:port`."""
+
+    peer_listen: str
+    peers: list[str]
+    peers_all: str
+
+
 class GossipPeers:
     """The other limiters: each has an address of its own in 127.64/10, all are played through one socket."""
 
@@ -48,7 +56,7 @@
         self._sender.close()
         self._receiver.close()
 
-    def config(self) -> dict[str, Any]:
+    def config(self) -> GossipConfig:
         """The keys on gossip of the configuration of the limiter under test."""
         own = "{}:{}".format(*self.limiter_address)
         peers = [f"{peer_host(number)}:{self._port}" for number in range(1, self._limiters)]
--- a/scale/process/limiter_process.py
+++ b/scale/process/limiter_process.py
@@ -8,8 +8,8 @@
 import re
 import sys
 import time
+from collections.abc import Mapping
 from pathlib import Path
-from typing import Any
 
 from scale.errors import ProcessStatusError
 
@@ -34,7 +34,7 @@
         self._log_reader = asyncio.create_task(self._read_log())
 
     @classmethod
-    async def start(cls, config: dict[str, Any], folder: Path) -> LimiterProcess:
+    async def start(cls, config: Mapping[str, object], folder: Path) -> LimiterProcess:
         """Start a limiter with that configuration, written to a file in `folder`."""
         path = folder / "config.json"
         path.write_text(json.dumps(config), encoding="utf-8")
--- a/scale/process/phases.py
+++ b/scale/process/phases.py
@@ -7,10 +7,11 @@
 import time
 from collections import Counter as Tally
 from dataclasses import dataclass
-from typing import Any
+from typing import TypedDict
 
 from hdrh.histogram import HdrHistogram
 
+from scale.experiment import ResultLine
 from scale.process.clients import Clients
 from scale.process.environment import Environment
 from scale.process.fleet import GOSSIP_INTAKE_PER_S
@@ -22,6 +23,27 @@
 MAX_LATENCY_US = 60_000_000  # of the histogram
 
 
+class ResponseFigures(TypedDict):
+    """Responses to the clients' requests of a phase."""
+
+    requests: int
+    answers: dict[str, int]  # number of responses by status
+    lost: int  # requests without a response
+    added_p50_ms: float | None
+    added_p99_ms: float | None
+
+
+class FleetFigures(TypedDict):
+    """Load of a whole fleet of limiters on the roles that they share."""
+
+    counter_calls_a_request: float
+    counter_calls_per_s: float
+    discovery_calls_per_s: float
+    discovery_entries_per_s: float
+    told_every_s: float  # interval between two gossip messages of one limiter
+    datagrams_per_s: float
+
+
 @dataclass(frozen=True, slots=True)
 class Phase:
     """What emulated peers do in a phase, by their rates a second."""
@@ -58,11 +80,11 @@
     )
 
 
-async def play_phases(environment: Environment, limiter: LimiterProcess) -> list[dict[str, Any]]:
+async def play_phases(environment: Environment, limiter: LimiterProcess) -> list[ResultLine]:
     """Play all phases on a limiter that is ready; the figures of each."""
     assert limiter.address is not None  # ready
     clients = environment.start_clients(limiter.address)
-    lines: list[dict[str, Any]] = []
+    lines: list[ResultLine] = []
     cores_before: float | None = None  # of the phase before
     for phase in phases_of(environment.experiment):
         await asyncio.sleep(environment.experiment.settle_s)
@@ -107,9 +129,9 @@
             await clients.wait_until_all_ended()
 
 
-def _cost_figures(phase: Phase, measurement: Measurement, additional_cores: float) -> dict[str, Any]:
-    """Time and counts; the cost of one of what this phase has more than the one before is the latter's."""
-    figures: dict[str, Any] = {
+def _cost_figures(phase: Phase, measurement: Measurement, additional_cores: float) -> ResultLine:
+    """Time, processor time and counts of a phase, and the cost of one of what it adds to the phase before."""
+    figures: dict[str, object] = {
         "phase": phase.name,
         "seconds": round(measurement.seconds, 3),
         "core": measurement.cores,
@@ -127,7 +149,7 @@
     return figures
 
 
-def _response_figures(clients: Clients) -> dict[str, Any]:
+def _response_figures(clients: Clients) -> ResponseFigures:
     """What came back, by status, and the latency added to what was served.
 
     That latency is the time from writing a request to reading its whole response, less the server's own time.
@@ -155,7 +177,7 @@
 
 def _fleet_figures(
     environment: Environment, phase: Phase, counts: Tally[str], requests: int
-) -> dict[str, Any] | None:
+) -> FleetFigures | None:
     """The load of a fleet of such limiters on the roles that they share; None in a phase without requests."""
     if not phase.requests:
         return None
--- a/scale/process/run.py
+++ b/scale/process/run.py
@@ -6,26 +6,50 @@
 import tempfile
 from pathlib import Path
 from random import Random
-from typing import Any
+from typing import TypedDict
 
 import uvloop
 
-from scale.experiment import Progress, Record
+from scale.experiment import Progress, Record, ResultLine
 from scale.process.environment import Environment
 from scale.process.limiter_process import LOG_TIME_LENGTH, LimiterProcess
 from scale.process.phases import phases_of, play_phases
 from scale.process.plan import ProcessExperiment
 from scale.process.slopes import MIN_SIZES, fit_slopes
 
+
+class StartFigures(TypedDict):
+    """How a limiter process started, up to the call for the endpoint list."""
+
+    discovery: str
+    known: bool
+    seed: int
+    ready_s: float | None  # None: not within the experiment's time
+    start_processor_s: float
+    list_bytes: int
+    lists_asked: int
+    lists_bytes_in: int
+
+
+class EndFigures(TypedDict):
+    """Memory and log of a limiter process after all phases."""
+
+    peak_mb: float
+    resident_mb: float
+    warnings: int
+    first_warning: str
+
+
+# The figures that slopes are fitted to: of the result lines of sizes, and of those of phases.
 SIZE_FIGURES = ("ready_s", "start_processor_s", "peak_mb", "resident_mb", "list_bytes")
 PHASE_FIGURES = ("core", "processor_ms_a_request", "added_p50_ms", "added_p99_ms")
 
 
 def run(experiment: ProcessExperiment, record: Record, progress: Progress) -> None:
     """Play all sizes one after another; a record for each start, for each phase, and for each slope."""
-    lines: list[dict[str, Any]] = []
+    lines: list[ResultLine] = []
 
-    def keep(line: dict[str, Any]) -> None:
+    def keep(line: ResultLine) -> None:
         lines.append(line)
         record(line)
 
@@ -38,7 +62,7 @@
 
 
 def _record_slopes(
-    experiment: ProcessExperiment, swept: str, lines: list[dict[str, Any]], record: Record
+    experiment: ProcessExperiment, swept: str, lines: list[ResultLine], record: Record
 ) -> None:
     """Slopes over what was swept: of the starts, then of each phase."""
     size_lines = [line for line in lines if line["line"] == "size" and line["ready_s"] is not None]
@@ -69,15 +93,13 @@
             environment.close()
 
 
-def _start_figures(
-    environment: Environment, limiter: LimiterProcess, ready_s: float | None
-) -> dict[str, Any]:
+def _start_figures(environment: Environment, limiter: LimiterProcess, ready_s: float | None) -> StartFigures:
     experiment = environment.experiment
     return {
         "discovery": experiment.discovery,
         "known": experiment.has_known_list,
         "seed": experiment.seed,
-        "ready_s": ready_s and round(ready_s, 3),
+        "ready_s": None if ready_s is None else round(ready_s, 3),
         "start_processor_s": limiter.processor_seconds(),
         "list_bytes": len(environment.endpoints.full_document()),
         "lists_asked": environment.discovery.full_lists,
@@ -85,7 +107,7 @@
     }
 
 
-def _end_figures(limiter: LimiterProcess) -> dict[str, Any]:
+def _end_figures(limiter: LimiterProcess) -> EndFigures:
     return {
         "peak_mb": round(limiter.memory_mb("VmHWM"), 1),
         "resident_mb": round(limiter.memory_mb("VmRSS"), 1),
--- a/scale/process/slopes.py
+++ b/scale/process/slopes.py
@@ -3,23 +3,42 @@
 from __future__ import annotations
 
 import statistics
-from collections.abc import Mapping, Sequence
-from typing import Any
+from collections.abc import Sequence
+from typing import TypedDict
 
-MIN_SIZES = 3  # different sizes that a line needs
+from scale.experiment import ResultLine
 
+# Number of different sizes below which no line is fitted.
+MIN_SIZES = 3
 
-def fit_slopes(
-    kind: str, swept: str, lines: Sequence[Mapping[str, Any]], figures: Sequence[str]
-) -> list[dict[str, Any]]:
-    """A record for each figure that lines of three or more sizes have: least squares over `swept`.
 
-    `each` is the figure's growth with one more, `at_none` the line's value at none, `r2` the coefficient of
-    determination.
+class SlopeLine(TypedDict):
+    """A straight line through one figure of a sweep, by least squares."""
+
+    kind: str
+    line: str
+    of: str  # key of the figure
+    over: str  # key of what was swept
+    each: float  # growth of the figure with one more
+    at_none: float  # value of the line at 0
+    r2: float  # coefficient of determination
+    points: int
+
+
+def fit_slopes(kind: str, swept: str, lines: Sequence[ResultLine], figures: Sequence[str]) -> list[SlopeLine]:
+    """Fit a straight line over `swept` to each figure that lines of MIN_SIZES or more sizes have.
+
+    Args:
+        kind: of the experiment.
+        swept: key of the size that was swept.
+        lines: result lines of the sweep.
+        figures: keys of the figures; one that is missing or None in a line is left out there.
     """
-    records = []
+    records: list[SlopeLine] = []
     for figure in figures:
-        points = [(float(line[swept]), float(line[figure])) for line in lines if line.get(figure) is not None]
+        points = [
+            (_number(line[swept]), _number(line[figure])) for line in lines if line.get(figure) is not None
+        ]
         if len({size for size, _ in points}) < MIN_SIZES:
             continue
         sizes, values = zip(*points, strict=True)
@@ -39,3 +58,9 @@
             }
         )
     return records
+
+
+def _number(value: object) -> float:
+    """A value of a result line that is known to be a number."""
+    assert isinstance(value, float | int)
+    return float(value)
--- a/scale/process/traffic.py
+++ b/scale/process/traffic.py
@@ -4,7 +4,8 @@
 
 import asyncio
 import re
-from typing import Any, cast
+from collections.abc import Callable
+from typing import cast
 
 CONTENT_LENGTH = re.compile(rb"(?i)\r\ncontent-length: *(\d+)")
 HEAD_END = b"\r\n\r\n"
@@ -101,7 +102,7 @@
     return int(match[1]) if match else 0
 
 
-async def listen(protocol_factory: Any) -> tuple[asyncio.Server, str]:
+async def listen(protocol_factory: Callable[[], asyncio.Protocol]) -> tuple[asyncio.Server, str]:
     """Listen on a free port of loopback; the server and its `host:port`."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(protocol_factory, "127.0.0.1", 0, backlog=LISTEN_BACKLOG)
--- a/tests/scale/test_hollow_simulation.py
+++ b/tests/scale/test_hollow_simulation.py
@@ -9,6 +9,7 @@
 import msgspec
 import pytest
 
+from scale.hollow.gossip_age import GossipMessage
 from scale.hollow.plan import HollowExperiment
 from scale.hollow.run import check, run
 from scale.hollow.simulation import Simulation
@@ -43,7 +44,7 @@
     gossip_network = simulation.host.gossip_network
     deliver = gossip_network.deliver
 
-    def deliver_unless_unreachable(receiver: int, message: Any) -> None:
+    def deliver_unless_unreachable(receiver: int, message: GossipMessage) -> None:
         if receiver != unreachable_limiter:
             deliver(receiver, message)
 
@@ -102,15 +103,16 @@
 def test_partitioned_regions_receive_no_gossip_of_each_other_until_they_are_connected() -> None:
     simulation = Simulation(hollow_experiment(zones=2, regions=2, network={"peer_loss": 0.0}))
     receivers: list[int] = []
+    message = GossipMessage(0, b"message", {})
     simulation.host.gossip_network.deliver = lambda receiver, _message: receivers.append(receiver)
     simulation.network.partitioned_regions.add(1)
-    simulation.host.gossip_network.broadcast(0, "message")
+    simulation.host.gossip_network.broadcast(0, message)
     simulation.clock.run(50.0)
     assert sorted(receivers) == [2, 4, 6]
     assert math.isinf(simulation.network.delay(0, 1))
     receivers.clear()
     simulation.network.partitioned_regions.clear()
-    simulation.host.gossip_network.broadcast(0, "message")
+    simulation.host.gossip_network.broadcast(0, message)
     simulation.clock.run(100.0)
     assert sorted(receivers) == [1, 2, 3, 4, 5, 6, 7]
 
--- a/tests/scale/test_process_experiments.py
+++ b/tests/scale/test_process_experiments.py
@@ -9,7 +9,7 @@
 import pytest
 
 from scale.errors import ExperimentError
-from scale.experiment import load, run
+from scale.experiment import ResultLine, load, run
 from scale.process.fleet_load import LimiterFleet, fleet_load
 from scale.process.slopes import fit_slopes
 
@@ -20,7 +20,7 @@
 
 def result_lines(file_name: str) -> list[Line]:
     """Play a shipped experiment; its result lines, as read back from JSON."""
-    lines: list[Line] = []
+    lines: list[ResultLine] = []
     run(load(EXPERIMENTS / file_name, None), lines.append, lambda _progress: None)
     return [json.loads(json.dumps(line)) for line in lines]
 
@@ -150,6 +150,7 @@
 def test_a_slope_needs_three_sizes() -> None:
     lines = [{"n": size, "y": 5.0 + 2 * size, "none": None} for size in (10, 20, 40)]
     (slope,) = fit_slopes("x", "n", lines, ("y", "none"))
-    assert (slope["each"], slope["at_none"]) == (pytest.approx(2.0), pytest.approx(5.0))
+    assert slope["each"] == pytest.approx(2.0)
+    assert slope["at_none"] == pytest.approx(5.0)
     assert slope["r2"] == 1.0
     assert fit_slopes("x", "n", lines[:2], ("y",)) == []
