--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -11,7 +11,7 @@
 from scale.hollow.server import Server
 from scale.hollow.tally import RequestOutcome
 
-# A time-out this little before the request's deadline is left to the deadline.
+# Time before a request's deadline in which no attempt times out by itself: the deadline ends it.
 TIMEOUT_MARGIN_MS = 0.5
 
 
@@ -58,7 +58,7 @@
             self._clock.call_at(now + timeout, self.end, attempt, Outcome.TIMEOUT)
 
     def cancel(self, request: Request, number: int) -> None:
-        """Carry out CancelAttempt."""
+        """Carry out CancelAttempt: the attempt ends at once; nothing if it has ended."""
         for attempt in request.in_flight:
             if attempt.number == number:
                 self._clock.call_at(self._clock.now, self.end, attempt, Outcome.CANCELLED)
--- a/scale/hollow/clients.py
+++ b/scale/hollow/clients.py
@@ -20,10 +20,10 @@
     """A request that a client is going to send."""
 
     customer: int
-    limiter: int  # that it comes in through, unless that one is known to be down
+    limiter: int  # number of the limiter to send it to, unless that one is known to be down
     request_class: int
     work: float  # ms of one core
-    patience: float  # ms
+    client_timeout: float  # ms
     is_retry: bool
 
 
@@ -39,7 +39,8 @@
         ledger: RequestLedger,
     ) -> None:
         """Send nothing until `start`."""
-        self.sent_count = 0  # requests, those of the warm-up and those that reached no limiter too
+        # All requests so far, also those of the warm-up and those that reached no limiter.
+        self.sent_count = 0
         self._parameters = context.experiment.clients
         self._classes = context.experiment.classes
         self._limiter_count = context.experiment.limiters
@@ -82,7 +83,7 @@
             limiter=arrivals.limiters[index],
             request_class=arrivals.classes[index],
             work=arrivals.works[index],
-            patience=arrivals.patience[index],
+            client_timeout=arrivals.client_timeouts[index],
             is_retry=False,
         )
         self._send(planned)
@@ -105,7 +106,7 @@
             units=UNITS_PER_REQUEST,
             limiter_set_size=float(customer.limiter_set_size),
             limiter_set_start=float(customer.limiter_set_start),
-            expires_at=now + planned.patience,
+            expires_at=now + planned.client_timeout,
             is_retry=planned.is_retry,
         )
         request = Request(event, now, customer.quota, planned.work)
@@ -114,7 +115,7 @@
         limiter.feed(event)
 
     def _limiter_for(self, customer: Customer, number: int) -> Limiter:
-        """That limiter, or one of the customer's set that is up where this one is known to be down."""
+        """Return that limiter, or one of the customer's set that is up if it is known to be down."""
         limiters = self._host.limiters
         limiter = limiters[number]
         if limiter.is_up or self._clock.now - limiter.state_since < self._parameters.failover_delay:
@@ -131,13 +132,13 @@
         if self._rng.random() < self._parameters.retry_elsewhere_probability:
             member = customer.limiter_set_start + self._rng.randrange(customer.limiter_set_size)
             number = member % self._limiter_count
-        patience = self._rng.uniform(*self._parameters.patience)
+        timeout_share = self._rng.uniform(*self._parameters.timeout_share)
         retry = PlannedRequest(
             customer=rejected.customer,
             limiter=number,
             request_class=rejected.request_class,
             work=request.work,
-            patience=patience * self._classes[rejected.request_class].deadline,
+            client_timeout=timeout_share * self._classes[rejected.request_class].deadline,
             is_retry=True,
         )
         delay = self._rng.uniform(*self._parameters.retry_delay)
--- a/scale/hollow/counter.py
+++ b/scale/hollow/counter.py
@@ -12,11 +12,12 @@
 from scale.hollow.network import Network
 from scale.hollow.plan import CounterParameters
 
-ReplyCallback = Callable[[Outcome, float], None]  # with the total
+# Takes the outcome of a call and the counter's total, which is 0 unless the outcome is OK.
+ReplyCallback = Callable[[Outcome, float], None]
 
 
 class CounterTotal(NamedTuple):
-    """What was added to a name, until it expires."""
+    """Sum of the amounts added to a key, until it expires."""
 
     value: float
     expires_at: float  # ms
@@ -39,7 +40,7 @@
         topology = network.topology
         zones = range(topology.zone_count)
         self._zone = next(zone for zone in zones if topology.region_of_zone(zone) == parameters.region)
-        self._service_time = 1000 / parameters.calls_per_s  # ms
+        self._service_time_ms = 1000 / parameters.calls_per_s
         self._idle_at = 0.0
 
     def add(self, zone: int, call: IncrementCounter, on_reply: ReplyCallback) -> None:
@@ -65,10 +66,10 @@
         outcome = Outcome.REJECTED
         total = 0.0
         done_at = now
-        if (self._idle_at - now) / self._service_time < self._parameters.queue:
+        if (self._idle_at - now) / self._service_time_ms < self._parameters.queue:
             outcome = Outcome.OK
             total = self._add_to_total(now, call)
-            self._idle_at = max(now, self._idle_at) + self._service_time
+            self._idle_at = max(now, self._idle_at) + self._service_time_ms
             done_at = self._idle_at + self._rng.uniform(*self._parameters.latency)
         else:
             self.rejected_calls += 1
--- a/scale/hollow/customers.py
+++ b/scale/hollow/customers.py
@@ -22,7 +22,7 @@
     limiter_set_start: int
     limiter_set_size: int
     quota: Quota
-    used_limiters: frozenset[int] = frozenset()  # those that first requests come in through
+    used_limiters: frozenset[int] = frozenset()  # limiters that its first requests come in through
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
     limiters: list[int]
     classes: list[int]
     works: list[float]  # ms of one core
-    patience: list[float]  # ms
+    client_timeouts: list[float]  # ms
 
 
 def draw_customers(experiment: HollowExperiment) -> tuple[list[Customer], Arrivals]:
@@ -72,7 +72,7 @@
 def _draw_arrivals(
     rng: np.random.Generator, experiment: HollowExperiment, times: list[Floats], limiters: list[Integers]
 ) -> Arrivals:
-    """All customers' requests in order of time, with class, work and patience of each."""
+    """All customers' requests in order of time, with class, work and client timeout of each."""
     all_times = np.concatenate(times)
     customers = np.repeat(np.arange(len(times)), [len(customer_times) for customer_times in times])
     order = np.argsort(all_times, kind="stable")
@@ -82,19 +82,19 @@
     mean_works = np.array([request_class.work for request_class in experiment.classes])
     works = rng.exponential(1.0, count) * mean_works[classes]
     deadlines = np.array([request_class.deadline for request_class in experiment.classes])
-    patience = rng.uniform(*experiment.clients.patience, count) * deadlines[classes]
+    client_timeouts = rng.uniform(*experiment.clients.timeout_share, count) * deadlines[classes]
     return Arrivals(
         times=all_times[order].tolist(),
         customers=customers[order].tolist(),
         limiters=np.concatenate(limiters)[order].tolist(),
         classes=classes.tolist(),
         works=works.tolist(),
-        patience=patience.tolist(),
+        client_timeouts=client_timeouts.tolist(),
     )
 
 
 def _draw_times(rng: np.random.Generator, usage: UsageParameters, rate: float, duration: float) -> Floats:
-    """Times of one customer's requests, in order; `rate` is its plan's, in units a millisecond."""
+    """Times of one customer's requests, in order; `rate` is its plan's rate in units a ms."""
 
     def poisson(rate_factor: Range, begin: float, end: float) -> Floats:
         mean = rate * rng.uniform(*rate_factor) * (end - begin)
--- a/scale/hollow/discovery.py
+++ b/scale/hollow/discovery.py
@@ -23,7 +23,7 @@
     ) -> None:
         """Hand each change to `deliver(limiter, change)`."""
         self.endpoints: dict[bytes, Endpoint] = {}
-        self.changes = 0  # pushed
+        self.changes = 0  # number of changes pushed so far
         self.is_down = False
         self._clock = clock
         self._parameters = experiment.discovery
@@ -31,9 +31,10 @@
         self._deliver = deliver
         self._rng = Random(f"{experiment.seed}:discovery")
         self._push_rng = np.random.default_rng([experiment.seed, 3])
-        self._held_back: list[Endpoint] = []  # learnt during an outage
+        self._held_back: list[Endpoint] = []  # changes learnt during an outage
         self._observed_count = 0
-        self._newest: dict[bytes, int] = {}  # by server: the latest change that discovery has learnt
+        # Number of the latest change that discovery has learnt, by endpoint id.
+        self._newest: dict[bytes, int] = {}
 
     def full_list(self) -> EndpointsChanged:
         """The whole list, as a limiter gets it when it starts."""
@@ -55,7 +56,8 @@
             self._push(held_back)
 
     def _learn(self, endpoint: Endpoint, number: int) -> None:
-        if number < self._newest.get(endpoint.id, 0):  # a later change of the server was learnt sooner
+        is_outdated = number < self._newest.get(endpoint.id, 0)  # a later change was learnt sooner
+        if is_outdated:
             return
         self._newest[endpoint.id] = number
         if self.is_down:
@@ -70,7 +72,7 @@
                 self.endpoints.pop(endpoint.id, None)
             else:
                 self.endpoints[endpoint.id] = endpoint
-        times = self._clock.now + self._push_rng.uniform(*self._parameters.spread, self._limiter_count)
+        times = self._clock.now + self._push_rng.uniform(*self._parameters.push_delay, self._limiter_count)
         order = np.argsort(times, kind="stable")
         deliveries = zip(times[order].tolist(), order.tolist(), strict=True)
         FanOut(self._clock, deliveries, self._deliver, EndpointsChanged(endpoints, is_full_list=False))
--- a/scale/hollow/faults.py
+++ b/scale/hollow/faults.py
@@ -30,7 +30,7 @@
         self._servers = servers
 
     def start(self) -> None:
-        """Schedule all faults."""
+        """Schedule all faults of the experiment."""
         for fault in self._faults:
             self._clock.call_at(fault.at, self._inject, fault)
 
@@ -41,7 +41,7 @@
             case RestartServers():
                 up = self._servers.up()
                 chosen = [up[index] for index in self._sample(len(up), fault.share)]
-                self._servers.stop(chosen, fault.down, silently=False)
+                self._servers.stop(chosen, fault.down, is_machine_lost=False)
             case DrainServers():
                 up = self._servers.up()
                 for index in self._sample(len(up), fault.share):
@@ -75,7 +75,7 @@
     def _lose_zone(self, fault: LoseZone) -> None:
         if fault.servers:
             in_zone = [server for server in self._servers.up() if server.zone == fault.zone]
-            self._servers.stop(in_zone, fault.lasting, silently=True)
+            self._servers.stop(in_zone, fault.lasting, is_machine_lost=True)
         if not fault.limiters:
             return
         for limiter in self._host.limiters:
--- a/scale/hollow/gossip_age.py
+++ b/scale/hollow/gossip_age.py
@@ -14,8 +14,10 @@
 from limiter.policy.engine import PolicyEngine
 from scale.hollow.customers import Customer
 
-AGE_STEP_MS = 1.0  # resolution of the ages
-UNITS_EPSILON = 1e-6  # units; less than this is rounding
+# Resolution of the ages.
+AGE_STEP_MS = 1.0
+# A difference of fewer units than this is due to rounding.
+UNITS_EPSILON = 1e-6
 
 UsageDecoder = Callable[[PolicyEngine, bytes], Iterable[tuple[int, float]]]
 
@@ -32,7 +34,8 @@
 
     sender: int
     body: bytes
-    usage_times: dict[int, list[float]]  # by receiver that serves one of the customers: ms
+    # Times, in ms, of the usage that each receiver learns, by number of the receiver.
+    usage_times: dict[int, list[float]]
 
 
 class UnreportedUsage:
@@ -43,7 +46,7 @@
     def __init__(self, time: float, units: float) -> None:
         """Nothing of it is reported yet."""
         self.time = time  # ms
-        self.units = units  # still to report
+        self.units = units  # units that are not reported yet
 
 
 class GossipAges:
@@ -53,14 +56,18 @@
         self, customers: list[Customer], begin: float, end: float, decoder: UsageDecoder = decode_usage
     ) -> None:
         """Count usage from `begin` to `end`, in ms."""
-        self.ages: dict[int, int] = {}  # how often each age occurred, by age in steps
-        self.expected = 0  # pairs of a usage and another limiter that serves its customer
-        self.learnt = 0  # of these pairs
+        # How often each age occurred, by age in steps.
+        self.ages: dict[int, int] = {}
+        # Pairs of a usage and another limiter that serves its customer.
+        self.expected = 0
+        # Pairs whose limiter has learnt of the usage.
+        self.learnt = 0
         self._customers = customers
         self._begin = begin
         self._end = end
         self._decoder = decoder
-        self._unreported: dict[int, dict[int, deque[UnreportedUsage]]] = {}  # by limiter, customer
+        # Usage by limiter and customer, the oldest first.
+        self._unreported: dict[int, dict[int, deque[UnreportedUsage]]] = {}
 
     def record_usage(self, now: float, limiter: int, customer: int, units: float) -> None:
         """A limiter forwards a customer's request now."""
@@ -71,7 +78,7 @@
             self.expected += len(limiters) - (limiter in limiters)
 
     def message_sent(self, sender: int, engine: PolicyEngine, body: bytes) -> GossipMessage:
-        """Find the usage that a message reports in full, oldest first, and the receivers that wait for it."""
+        """Find the usage that a message reports in full, the oldest first, and its receivers."""
         usage_times: dict[int, list[float]] = {}
         by_customer = self._unreported.get(sender, {})
         for customer, units in self._decoder(engine, body):
@@ -96,7 +103,7 @@
             self.learnt += 1
 
     def discard(self, limiter: int) -> None:
-        """A limiter is gone: what it did not report is never learnt."""
+        """A limiter was killed: what it did not report is never learnt."""
         self._unreported.pop(limiter, None)
 
     def _take_reported(self, unreported: deque[UnreportedUsage], units: float) -> list[float]:
--- a/scale/hollow/limiters.py
+++ b/scale/hollow/limiters.py
@@ -72,12 +72,13 @@
         self._carry_out = carry_out
         self.number = number
         self.zone = zone
-        self.engine: PolicyEngine | None = None  # while up
+        self.engine: PolicyEngine | None = None  # None while down
         self.is_up = False
-        self.state_since = 0.0  # ms; since when it is up or down
-        self.incarnation = 0  # starts so far; what an earlier one waited for is dropped
+        self.state_since = 0.0  # ms; time at which it went up or down
+        # Number of starts so far; timers and counter replies of an earlier incarnation are dropped.
+        self.incarnation = 0
         self.requests: dict[int, Request] = {}
-        self.gossip_sent = 0  # datagrams
+        self.gossip_sent = 0  # datagrams, as in gossip_received
         self.gossip_received = 0
         self.gossip_bytes_sent = 0
         self.gossip_bytes_received = 0
@@ -159,7 +160,7 @@
         limiter.feed(self.discovery.full_list())
 
     def kill(self, limiter: Limiter) -> None:
-        """End a process or its machine: its requests and all its state are gone."""
+        """Kill a limiter: its requests and all its state are lost; nothing if it is down."""
         if not limiter.is_up:
             return
         lost_requests = limiter.kill()
@@ -236,10 +237,10 @@
         may_gossip=True,
         gossip_intake_per_second=experiment.network.peer_intake,
         counter_timeout=experiment.counter.timeout,
-        slow_start_capacity=servers.cold_capacity,
-        slow_start_duration=servers.cold_time,
-        slow_start_overload=servers.cold_overload,
-        slow_start_window=servers.cold_window,
+        slow_start_capacity=servers.slow_start_capacity,
+        slow_start_duration=servers.slow_start_duration,
+        slow_start_overload=servers.slow_start_overload,
+        slow_start_window=servers.slow_start_window,
     )
 
 
--- a/scale/hollow/network.py
+++ b/scale/hollow/network.py
@@ -124,13 +124,13 @@
     def __init__(self, parameters: NetworkParameters) -> None:
         """Start with a full bucket."""
         self.dropped = 0
-        self._rate = parameters.peer_intake / 1000  # datagrams in a ms
+        self._rate = parameters.peer_intake / 1000  # datagrams a ms
         self._burst = parameters.peer_intake_burst
         self._tokens = self._burst
         self._updated_at = 0.0
 
     def admit(self, now: float) -> bool:
-        """Whether a datagram that arrives now is taken in; otherwise it counts as dropped."""
+        """Take in a datagram that arrives now, or count it as dropped; return whether it was taken in."""
         self._tokens = min(self._burst, self._tokens + self._rate * (now - self._updated_at))
         self._updated_at = now
         if self._tokens < 1:
--- a/scale/hollow/plan.py
+++ b/scale/hollow/plan.py
@@ -1,8 +1,8 @@
 """What a hollow experiment says: the keys of its TOML file, with their ranges.
 
-All times and durations are milliseconds, rates of quotas units a second, as in limiter/model. A
-pair [low, high] is a range from which values are drawn evenly. Where a field is named otherwise than its key,
-`msgspec.field` has the key.
+All times and durations are milliseconds, rates of quotas are units a second, as in limiter/model. A pair
+[low, high] is a range from which values are drawn evenly. Where a field's name differs from its key,
+`msgspec.field` names the key.
 """
 
 from __future__ import annotations
@@ -21,21 +21,19 @@
 Range = tuple[Amount, Amount]
 
 
-class ParameterError(ValueError):
-    """A value that no range of a single number rules out; the message is `KEY: what is wrong`."""
-
-    def __init__(self, key: str, problem: str) -> None:
-        """Name the key by its place in the table that has it."""
-        super().__init__(f"{key}: {problem}")
-
-
 def _require(is_valid: bool, key: str, problem: str) -> None:
+    """Check a rule that the type of a single field does not express.
+
+    Raises:
+        ValueError: the rule is broken; the message is `KEY: what is wrong`, with the key as in its table.
+    """
     if not is_valid:
-        raise ParameterError(key, problem)
+        message = f"{key}: {problem}"
+        raise ValueError(message)
 
 
 def _check_numbers(table: msgspec.Struct) -> None:
-    """Raise ParameterError for a number that is not finite, or a range that is empty."""
+    """Raise ValueError for a number that is not finite, or a range that is empty."""
     for key, field in zip(table.__struct_encode_fields__, table.__struct_fields__, strict=True):
         value: object = getattr(table, field)
         values = value if isinstance(value, tuple) else (value,)
@@ -52,36 +50,46 @@
 
 
 class ClassParameters(_Table, frozen=True):
-    """A class of requests."""
+    """A class of requests, and its share of all first requests."""
 
     share: Share
-    work: Positive  # mean, of one core of a warm server; each request's is drawn exponentially
+    # Mean work of a request, in ms of one core of a server past its slow start. Each request's work is drawn
+    # from an exponential distribution.
+    work: Positive
     latency_objective: Positive = msgspec.field(name="aim")
     deadline: Positive
     priority_weight: Amount = msgspec.field(name="worth", default=1.0)
     late_weight: Share = msgspec.field(name="late_worth", default=0.0)
-    is_idempotent: bool = msgspec.field(name="may_repeat", default=True)  # False: must never run twice
+    # Whether a request may run twice.
+    is_idempotent: bool = msgspec.field(name="may_repeat", default=True)
 
 
 class PlanParameters(_Table, frozen=True):
-    """A quota plan."""
+    """A quota plan, and the share of all first requests that customers with it send."""
 
-    share: Share  # of the requests
-    rate: Positive  # that usage profiles are multiples of; the quota, unless max_concurrency is given
-    burst: Amount = 0.0  # units
-    max_concurrency: Number = msgspec.field(name="max_open", default=0)  # above 0 the rate is no quota
+    share: Share
+    # Usage profiles are multiples of this rate. It is the quota too, unless there is a cap on concurrency.
+    rate: Positive
+    # Units that a customer may use at once after a time without requests.
+    burst: Amount = 0.0
+    # Cap on concurrent attempts; if it is above 0, it is the quota in place of the rate.
+    max_concurrency: Number = msgspec.field(name="max_open", default=0)
     price: Amount = 1.0
 
 
 class UsageParameters(_Table, frozen=True):
-    """What customers request, as multiples of their plan's rate; those in none of the shares are calm."""
+    """Usage profiles of customers, as multiples of their plan's rate.
+
+    A share is the part of the customers that have a profile. All others have the calm profile.
+    """
 
     calm_usage: Range = msgspec.field(name="calm", default=(0.2, 0.42))
     full_share: Share = msgspec.field(name="full", default=0.17)
     full_usage: Range = msgspec.field(name="full_use", default=(0.9, 1.0))
     heavy_share: Share = msgspec.field(name="heavy", default=0.1)
     heavy_usage: Range = msgspec.field(name="heavy_use", default=(2.8, 4.5))
-    spiky_share: Share = msgspec.field(name="spiky", default=0.17)  # calm, but for spikes
+    # Customers with the calm profile and spikes on top.
+    spiky_share: Share = msgspec.field(name="spiky", default=0.17)
     spike_usage: Range = msgspec.field(name="spike_use", default=(2.0, 8.0))
     spike_duration: Range = msgspec.field(name="spike", default=(870.0, 4000.0))
     spike_interval: Range = msgspec.field(name="spike_every", default=(10000.0, 23000.0))
@@ -90,50 +98,66 @@
 class ClientParameters(_Table, frozen=True):
     """How clients reach the limiters of their customer's set, and how they retry."""
 
-    requests_per_limiter: Positive = 1.5  # a second, first requests, mean over the fleet
-    set_size: tuple[Count, Count] = (20, 40)  # limiters in a row that a customer's requests come in through
-    skew: Range = (0.35, 1.1)  # of the set's weights: (rank + 1) ** -skew
-    shift_interval: Range = msgspec.field(name="shift", default=(9200.0, 24000.0))  # until the ranks change
-    # Customers whose requests all come in through one limiter of the set.
+    # First requests a second at each limiter, as the mean over the fleet.
+    requests_per_limiter: Positive = 1.5
+    # Number of consecutive limiters that a customer's requests come in through.
+    set_size: tuple[Count, Count] = (20, 40)
+    # Exponent of a customer's distribution over its limiters: the weight of a rank is (rank + 1) ** -skew.
+    skew: Range = (0.35, 1.1)
+    # Time after which the limiters of a customer change their ranks.
+    shift_interval: Range = msgspec.field(name="shift", default=(9200.0, 24000.0))
+    # Share of customers whose requests all come in through one limiter of the set.
     single_share: Share = msgspec.field(name="single", default=0.1)
-    patience: Range = (0.5, 1.0)  # of the class's deadline
-    retry_probability: Share = msgspec.field(name="retries", default=0.0)  # of a rejected first request
+    # Time after which a client gives up, as a share of its request class's deadline.
+    timeout_share: Range = msgspec.field(name="patience", default=(0.5, 1.0))
+    # Probability that the client of a rejected first request sends it again.
+    retry_probability: Share = msgspec.field(name="retries", default=0.0)
     retry_delay: Range = msgspec.field(name="retry_wait", default=(50.0, 400.0))
     # Probability that a retry comes in through another limiter of the set.
     retry_elsewhere_probability: Share = msgspec.field(name="elsewhere", default=0.5)
-    # Until requests for a limiter that is down go to others of the set.
+    # Time after a limiter went down until requests for it go to others of the set.
     failover_delay: Amount = msgspec.field(name="front_notice", default=2000.0)
 
 
 class NetworkParameters(_Table, frozen=True):
     """Delays, and the limits of gossip."""
 
-    same_zone: Range = (0.088, 0.34)  # one way
+    # One-way delays of packets within a zone, between zones of a region, and between regions.
+    same_zone: Range = (0.088, 0.34)
     cross_zone: Range = (0.7, 1.3)
     cross_region: Range = (0.7, 1.3)
-    peer: Range = (1.0, 36.0)  # a gossip datagram's delay; between regions `cross_region` comes on top
+    # Delay of a gossip datagram; one between regions has a delay of `cross_region` in addition.
+    peer: Range = (1.0, 36.0)
+    # Share of gossip datagrams that are lost.
     peer_loss: Share = 0.03
-    peer_intake: Positive = 40.0  # datagrams a second that a limiter takes in; its settings say so too
-    peer_intake_burst: Positive = 40.0  # datagrams that it takes in at once after a silence
+    # Gossip datagrams a second that a limiter takes in; the limiters' settings have the same value.
+    peer_intake: Positive = 40.0
+    # Gossip datagrams that a limiter takes in at once after a time without any.
+    peer_intake_burst: Positive = 40.0
 
 
 class CounterParameters(_Table, frozen=True):
-    """The shared counter."""
+    """Capacity and delays of the shared counter."""
 
     calls_per_s: Positive = 450.0
-    queue: Count = 20  # calls; beyond it a call is rejected
+    # Length of the queue of calls, above which a call is rejected.
+    queue: Count = 20
     latency: Range = (0.31, 1.8)
+    # Time after which a limiter gives up a call.
     timeout: Positive = 30.0
     max_time_to_live: Positive = msgspec.field(name="longest_life", default=60000.0)
     region: Number = 0
 
 
 class DiscoveryParameters(_Table, frozen=True):
-    """Delays of discovery."""
+    """Delays until discovery and the limiters learn of a server's state."""
 
-    started: Range = (710.0, 2400.0)  # until discovery learns that a server has started
-    stopped: Range = (1100.0, 4900.0)  # that it has ended
-    spread: Range = (120.0, 340.0)  # from there to each limiter
+    # Time until discovery learns that a server has started.
+    started: Range = (710.0, 2400.0)
+    # Time until discovery learns that a server has stopped.
+    stopped: Range = (1100.0, 4900.0)
+    # Time until a change that discovery has learnt reaches a limiter, drawn for each limiter.
+    push_delay: Range = msgspec.field(name="spread", default=(120.0, 340.0))
 
 
 class ServerParameters(_Table, frozen=True):
@@ -141,11 +165,14 @@
 
     per_limiter: Positive
     cores: Count = 2
-    queue: Count = 40  # requests; beyond it one is rejected
-    cold_capacity: Annotated[float, Meta(gt=0, le=1)] = 0.3
-    cold_time: Amount = 12000.0
-    cold_overload: Positive = 2.0
-    cold_window: Positive = 1000.0
+    # Length of the queue of requests, above which a request is rejected.
+    queue: Count = 40
+    # Share of its capacity that a server has at its start.
+    slow_start_capacity: Annotated[float, Meta(gt=0, le=1)] = msgspec.field(name="cold_capacity", default=0.3)
+    slow_start_duration: Amount = msgspec.field(name="cold_time", default=12000.0)
+    # Multiple of its present capacity that a server withstands within a window during slow start.
+    slow_start_overload: Positive = msgspec.field(name="cold_overload", default=2.0)
+    slow_start_window: Positive = msgspec.field(name="cold_window", default=1000.0)
 
 
 class _Fault(_Table, frozen=True, tag_field="kind"):
@@ -162,7 +189,8 @@
     share: Share
     down: Amount = 1000.0
     batches: Count = 1
-    interval: Amount = msgspec.field(name="every", default=0.0)  # between batches
+    # Time between two batches.
+    interval: Amount = msgspec.field(name="every", default=0.0)
 
     def duration(self) -> float:
         """Time until the last batch is back, in ms."""
@@ -170,7 +198,7 @@
 
 
 class RestartServers(_Fault, frozen=True, tag="restart-servers"):
-    """A share of the servers dies and comes back cold after `down`."""
+    """A share of the servers dies and starts again after `down`, in slow start."""
 
     share: Share
     down: Amount = 10000.0
@@ -181,7 +209,7 @@
 
 
 class DrainServers(_Fault, frozen=True, tag="drain-servers"):
-    """A share of the servers drains for `drain` and ends; new ones with new ids start cold in their place."""
+    """A share of the servers drains for `drain` and ends; servers with new ids start in their place."""
 
     share: Share
     drain: Amount = 4000.0
@@ -200,7 +228,7 @@
 
 
 class LoseZone(_LastingFault, frozen=True, tag="lose-zone"):
-    """Limiters and servers of a zone vanish silently, and are back after `lasting`, without any state."""
+    """Limiters and servers of a zone are lost without a reset, and start again after `lasting`."""
 
     zone: Number
     limiters: bool = True
@@ -233,28 +261,32 @@
 
     name: str
     limiters: Annotated[int, Meta(ge=2)]
-    duration: Positive  # in which requests arrive
+    duration: Positive  # time in which requests arrive
     classes: Annotated[tuple[ClassParameters, ...], Meta(min_length=1)]
     plans: Annotated[tuple[PlanParameters, ...], Meta(min_length=1)]
     servers: ServerParameters
     seed: Number = 1
-    warm_up: Amount = 1000.0  # no figure counts requests that arrive before
-    # Usage so shortly before the end does not count for the age of gossip.
+    # Requests that arrive earlier than this count in no figure.
+    warm_up: Amount = 1000.0
+    # Usage in this time before the end is not counted for the age of gossip, as it may not be reported yet.
     gossip_age_tail: Amount = msgspec.field(name="news_tail", default=0.0)
     zones: Count = 3
-    regions: Count = 1  # zones are shared out among them, in their order
+    # Number of regions; each has as many consecutive zones as the others, or one more or less.
+    regions: Count = 1
     usage: UsageParameters = msgspec.field(name="use", default=UsageParameters())
     clients: ClientParameters = ClientParameters()
     network: NetworkParameters = NetworkParameters()
     counter: CounterParameters = CounterParameters()
     discovery: DiscoveryParameters = DiscoveryParameters()
     faults: tuple[Fault, ...] = ()
-    window: Positive = 5000.0  # sliding, in which units beyond quotas are compared with those before a fault
+    # Sliding window in which units beyond quotas are compared with those before a fault.
+    window: Positive = 5000.0
     max_attempts: Count = 4
-    start_spread: Range = (100.0, 1000.0)  # starts of the limiters
+    # Time at which a limiter starts, drawn for each.
+    start_delay: Range = msgspec.field(name="start_spread", default=(100.0, 1000.0))
 
     def __post_init__(self) -> None:
-        """Check what a single number's range does not; raises ParameterError."""
+        """Check the rules between several keys; raises ValueError."""
         _check_numbers(self)
         self._check_shares()
         self._check_regions()
--- a/scale/hollow/quota.py
+++ b/scale/hollow/quota.py
@@ -1,4 +1,4 @@
-"""The true state of a customer's quota, as one that sees all its requests knows it."""
+"""The true state of a customer's quota, computed from all of its requests."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
     def __init__(self, plan: PlanParameters) -> None:
         """Start with a full bucket; a plan with a cap on concurrency has no rate."""
-        self.in_flight = 0  # attempts
-        self._rate = 0.0 if plan.max_concurrency else plan.rate / 1000  # units in a ms
+        self.in_flight = 0  # number of attempts in flight, at all limiters
+        self._rate = 0.0 if plan.max_concurrency else plan.rate / 1000  # units a ms
         self._burst = plan.burst
         self._max_concurrency = plan.max_concurrency
         self._tokens = plan.burst
--- a/scale/hollow/server.py
+++ b/scale/hollow/server.py
@@ -30,50 +30,56 @@
 class Server(Generic[Job]):
     """Cores and a queue before them; after a start it is cold for a while and then crashes if overloaded."""
 
-    on_reply: Callable[[Job, Outcome], None]  # set by the owner, as is on_crash
+    # The fleet that the server belongs to sets both.
+    on_reply: Callable[[Job, Outcome], None]
     on_crash: Callable[[Server[Job]], None]
 
     def __init__(
         self, clock: VirtualClock, parameters: ServerParameters, number: int, zone: int, mean_work: float
     ) -> None:
-        """Start warm; `mean_work` is the mean of all requests' work, in ms of one core."""
+        """Start past the slow start; `mean_work` is the mean of all requests' work, in ms of one core."""
         self.id = number.to_bytes(6, "big")
         self.zone = zone
-        self.started_at = -math.inf  # of the process
+        self.started_at = -math.inf  # ms; start of the process
         self.is_up = True
         self.is_draining = False
         self.crashes = 0
         self._clock = clock
         self._parameters = parameters
         self._mean_work = mean_work
-        self._is_silent = False  # its machine is gone: nothing is even reset
+        self._is_machine_lost = False  # if so, packets to it get no reply, not even a reset
         self._running_count = 0
-        self._queue: deque[Job] = deque()  # jobs that are over stay in it until they are due
-        self._queued_count = 0  # those of the queue that are not over
-        self._jobs: dict[Job, None] = {}  # running or queued, in order of arrival
-        self._cold_arrivals: deque[float] = deque()  # times within the overload window
+        # Queued jobs; one that was cancelled stays in the queue until its turn comes.
+        self._queue: deque[Job] = deque()
+        self._queued_count = 0  # number of queued jobs that were not cancelled
+        self._jobs: dict[Job, None] = {}  # running and queued jobs, in order of arrival
+        # Times of arrivals within the overload window during slow start, in ms.
+        self._recent_arrivals: deque[float] = deque()
 
     def endpoint(self, state: EndpointState) -> Endpoint:
         """The server's entry of the endpoint list."""
         return Endpoint(self.id, state, zone=self.zone, started_at=max(0.0, self.started_at))
 
     def capacity(self) -> float:
-        """Present capacity as a share of that when warm: it grows evenly during slow start."""
+        """Present capacity as a share of the full one; during slow start it grows linearly."""
         parameters = self._parameters
         age = self._clock.now - self.started_at
-        if age >= parameters.cold_time:
+        if age >= parameters.slow_start_duration:
             return 1.0
-        return parameters.cold_capacity + (1 - parameters.cold_capacity) * age / parameters.cold_time
+        return (
+            parameters.slow_start_capacity
+            + (1 - parameters.slow_start_capacity) * age / parameters.slow_start_duration
+        )
 
     def arrive(self, job: Job) -> None:
         """Run, queue or reject a job; one that arrives at a process that is down fails to connect."""
-        if self._is_silent or job.is_over:
+        if self._is_machine_lost or job.is_over:
             return
         if not self.is_up:
             self.on_reply(job, Outcome.CONNECT_FAILED)
         elif self.is_draining:
             self.on_reply(job, Outcome.REJECTED)
-        elif self._is_cold() and self._is_overloaded():
+        elif self._is_in_slow_start() and self._is_overloaded():
             self.crashes += 1
             self.stop()
             self.on_crash(self)
@@ -95,10 +101,10 @@
         self._running_count -= 1
         self._start_queued()
 
-    def stop(self, silently: bool = False) -> None:
-        """End the process: connections are reset; silently, the whole machine vanishes."""
+    def stop(self, is_machine_lost: bool = False) -> None:
+        """End the process, which resets its connections; a lost machine resets none."""
         self.is_up = False
-        self._is_silent = silently
+        self._is_machine_lost = is_machine_lost
         jobs = self._jobs
         self._jobs = {}
         self._running_count = 0
@@ -106,33 +112,33 @@
         self._queue.clear()
         for job in jobs:
             job.is_over = True
-            if not silently:
+            if not is_machine_lost:
                 self.on_reply(job, Outcome.RESET)
 
     def start(self) -> None:
-        """Start the process anew, cold."""
+        """Start the process anew, in slow start."""
         self.is_up = True
         self.is_draining = False
-        self._is_silent = False
+        self._is_machine_lost = False
         self.started_at = self._clock.now
-        self._cold_arrivals.clear()
+        self._recent_arrivals.clear()
 
-    def _is_cold(self) -> bool:
-        return self._clock.now - self.started_at < self._parameters.cold_time
+    def _is_in_slow_start(self) -> bool:
+        return self._clock.now - self.started_at < self._parameters.slow_start_duration
 
     def _is_overloaded(self) -> bool:
-        """Count an arrival; whether there were more than N + 2 sqrt(N) + 2 in the window.
+        """Count an arrival; return whether the window has more than N + 2 sqrt(N) + 2 arrivals.
 
-        N is what the settings allow a server of the present capacity.
+        N is the number that the settings allow a server of the present capacity in that window.
         """
         parameters = self._parameters
         now = self._clock.now
-        self._cold_arrivals.append(now)
-        while self._cold_arrivals[0] <= now - parameters.cold_window:
-            self._cold_arrivals.popleft()
-        rate_factor = parameters.cold_overload * self.capacity()
-        allowed = rate_factor * parameters.cold_window * parameters.cores / self._mean_work
-        return len(self._cold_arrivals) > allowed + 2 * math.sqrt(allowed) + 2
+        self._recent_arrivals.append(now)
+        while self._recent_arrivals[0] <= now - parameters.slow_start_window:
+            self._recent_arrivals.popleft()
+        rate_factor = parameters.slow_start_overload * self.capacity()
+        allowed = rate_factor * parameters.slow_start_window * parameters.cores / self._mean_work
+        return len(self._recent_arrivals) > allowed + 2 * math.sqrt(allowed) + 2
 
     def _accept(self, job: Job) -> None:
         if self._running_count < self._parameters.cores:
--- a/scale/hollow/servers.py
+++ b/scale/hollow/servers.py
@@ -10,7 +10,8 @@
 from scale.hollow.requests import Attempt
 from scale.hollow.server import Server
 
-AT_ONCE = (0.0, 0.0)  # ms until discovery learns of what the fleet itself announces
+# Delay, in ms, until discovery learns of a change that the fleet of servers itself announces.
+AT_ONCE = (0.0, 0.0)
 
 
 class ServerFleet:
@@ -19,7 +20,7 @@
     on_reply: Callable[[Attempt, Outcome], None]  # set by the simulation before the first attempt
 
     def __init__(self, context: Context, discovery: Discovery) -> None:
-        """Start as many as the experiment says, warm and on discovery's list."""
+        """Start as many as the experiment says, past their slow start and on discovery's list."""
         self.servers: dict[bytes, Server[Attempt]] = {}
         self._clock = context.clock
         self._topology = context.network.topology
@@ -38,14 +39,14 @@
         """Servers whose process runs, those that drain too."""
         return [server for server in self.servers.values() if server.is_up]
 
-    def stop(self, servers: Iterable[Server[Attempt]], down: float, silently: bool) -> None:
-        """Stop servers; each is back, cold, after `down` ms."""
+    def stop(self, servers: Iterable[Server[Attempt]], down: float, is_machine_lost: bool) -> None:
+        """Stop servers; each starts again after `down` ms. A lost machine resets no connection."""
         stopped = list(servers)
         for server in stopped:
-            server.stop(silently)
+            server.stop(is_machine_lost)
             self._clock.call_at(self._clock.now + down, self._restart, server)
-        gone = [server.endpoint(EndpointState.GONE) for server in stopped]
-        self._discovery.observe(gone, self._delays.stopped)
+        ended = [server.endpoint(EndpointState.GONE) for server in stopped]
+        self._discovery.observe(ended, self._delays.stopped)
 
     def drain(self, server: Server[Attempt], duration: float) -> None:
         """Drain a server; after `duration` ms a new one takes its place."""
--- a/scale/hollow/simulation.py
+++ b/scale/hollow/simulation.py
@@ -37,7 +37,7 @@
         self.host.attempts = attempts
         self.host.clients = self.clients
         for limiter in self.host.limiters:
-            start_at = context.rng.uniform(*experiment.start_spread)
+            start_at = context.rng.uniform(*experiment.start_delay)
             self.clock.call_at(start_at, self.host.start, limiter)
         self.clients.start()
         FaultInjector(context, self.host, self.servers).start()
--- a/scale/hollow/tally.py
+++ b/scale/hollow/tally.py
@@ -12,8 +12,10 @@
 from limiter.model.events import Outcome
 from scale.hollow.plan import HollowExperiment
 
-BIN_MS = 1000.0  # of the units beyond quotas over time
-RECOVERED_RATIO = 1.5  # to the level before a fault, below which a window counts as recovered
+# Width of the bins in which units beyond quotas are counted over time.
+BIN_MS = 1000.0
+# A window counts as recovered if it has at most this multiple of the units of the windows before the fault.
+RECOVERED_RATIO = 1.5
 
 
 class RequestOutcome(Enum):
@@ -31,16 +33,16 @@
 
     before: float | None  # mean of the windows before the fault
     worst: float | None  # the most of any window after it
-    recovery_ms: float | None  # until they are back for good
+    recovery_ms: float | None  # time from the fault until they are back for good
 
 
 class Tally:
     """Counts of the whole fleet; requests that arrive during the warm-up count only in `ended_requests`."""
 
     def __init__(self, experiment: HollowExperiment) -> None:
-        """Count nothing yet."""
+        """Set all counts to 0; the experiment gives the warm-up, the duration and the window."""
         self.requests = 0
-        self.retries = 0  # of the requests
+        self.retries = 0  # requests that are retries
         self.attempts = 0
         self.gossip_messages = 0
         self.open_requests = 0
@@ -48,10 +50,12 @@
         self.request_outcomes = dict.fromkeys(RequestOutcome, 0)
         self.ended_requests = 0
         self.rejected_within_quota = 0
-        self.units = 0.0  # forwarded
-        self.units_beyond_quota = 0.0  # of these
-        self.bins = [0.0] * (math.ceil(experiment.duration / BIN_MS) + 1)  # units beyond quotas
-        self.latencies: dict[int, int] = {}  # how often each latency occurred, by us
+        self.units = 0.0  # units forwarded
+        self.units_beyond_quota = 0.0  # units forwarded although their quota was used up
+        # Units beyond quotas, by the bin of time in which they were forwarded.
+        self.bins = [0.0] * (math.ceil(experiment.duration / BIN_MS) + 1)
+        # How often each latency occurred, by latency in us.
+        self.latencies: dict[int, int] = {}
         self.attempt_outcomes = dict.fromkeys(Outcome, 0)
         self._warm_up = experiment.warm_up
         self._duration = experiment.duration
@@ -92,12 +96,14 @@
         self.attempt_outcomes[outcome] += 1
 
     def recovery(self, fault_at: float) -> Recovery:
-        """How long after a fault units beyond quotas are back under 1.5 times those before it, for good.
+        """Measure how long after a fault units beyond quotas are back at their level for good.
 
-        Both in sliding windows; the level before is the mean of all whole windows in the three windows before
-        the fault. 0 where it was never left, none where it is still left at the end.
+        Units are summed in sliding windows. The level before the fault is the mean of the sums of all full
+        windows within the three windows' time before it. Units are back if a window has at most
+        RECOVERED_RATIO times that level. The recovery takes 0 ms if no window had more, and is None if the
+        last one still has more.
         """
-        width = max(1, round(self._window / BIN_MS))  # bins
+        width = max(1, round(self._window / BIN_MS))  # of a window, in bins
         bin_count = int(self._duration / BIN_MS)
         sums = {end: sum(self.bins[end - width : end]) for end in range(width, bin_count + 1)}
         fault_bin = fault_at / BIN_MS
@@ -129,21 +135,25 @@
 
 
 def rounded(value: float) -> float:
-    """Six digits: enough, and the same on every machine."""
+    """Round to six significant digits, so that a figure is the same on every machine."""
     return float(f"{value:.6g}")
 
 
-def ratio(part: float, whole: float) -> float | None:
-    """Rounded share of the whole; None of nothing."""
-    return rounded(part / whole) if whole else None
+def ratio(part: float, total: float) -> float | None:
+    """Return the rounded share of a part in the total; None if the total is 0."""
+    return rounded(part / total) if total else None
 
 
 def quantiles(
     counts: dict[int, int], max_value: int, scale: float, levels: Sequence[float]
 ) -> list[float | None]:
-    """Quantiles by an HDR histogram of three digits, of values up to `max_value`, times `scale`.
+    """Compute quantiles by an HDR histogram of three significant digits.
 
-    `counts` has how often each value occurred; without any, all quantiles are None.
+    Args:
+        counts: how often each value occurred; if it is empty, all quantiles are None.
+        max_value: a higher value counts as this one.
+        scale: factor that the quantiles are multiplied by.
+        levels: of the quantiles, from 0 to 1.
     """
     if not counts:
         return [None] * len(levels)
--- a/tests/scale/test_hollow_simulated_peers.py
+++ b/tests/scale/test_hollow_simulated_peers.py
@@ -147,7 +147,12 @@
 @pytest.mark.parametrize(("started_at", "crashes"), [(0.0, 1), (-10000.0, 0)], ids=["cold", "warm"])
 def test_a_server_crashes_of_overload_while_it_is_cold(started_at: float, crashes: int) -> None:
     bench = ServerBench(
-        started_at, cores=2, queue=100, cold_capacity=0.2, cold_time=10000.0, cold_overload=2.0
+        started_at,
+        cores=2,
+        queue=100,
+        slow_start_capacity=0.2,
+        slow_start_duration=10000.0,
+        slow_start_overload=2.0,
     )
     expected_jobs = 2.0 * 0.2 * 1000 * 2 / 100  # requests of mean work in a window of 1 s
     for _ in range(int(expected_jobs + 2 * math.sqrt(expected_jobs) + 2)):
@@ -160,7 +165,7 @@
 
 
 def test_a_cold_server_is_slower() -> None:
-    bench = ServerBench(0.0, cold_capacity=0.25, cold_time=1e9)
+    bench = ServerBench(0.0, slow_start_capacity=0.25, slow_start_duration=1e9)
     bench.send()
     bench.clock.run(399.0)
     assert not bench.outcomes
