--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -60,7 +60,11 @@
 
 @contextmanager
 def _output(path: Path | None) -> Iterator[TextIO]:
-    """The file at `path`, or standard output. Raises ExperimentError if it cannot be opened."""
+    """Open the file at `path`, or take standard output.
+
+    Raises:
+        ExperimentError: the file cannot be opened.
+    """
     if path is None:
         yield sys.stdout
         return
--- a/scale/experiment.py
+++ b/scale/experiment.py
@@ -18,13 +18,14 @@
 from scale.errors import ExperimentError
 
 Experiment = msgspec.Struct
-ResultLine = Mapping[str, object]  # by key; the values are JSON's types
+# A line of results, by key; the values are of JSON's types.
+ResultLine = Mapping[str, object]
 Record = Callable[[ResultLine], None]
 Progress = Callable[[str], None]
 
 KIND_KEY = "kind"
 WRONG_FIELD = re.compile(r"Object (contains unknown|missing required) field `(\w*)`")
-# A problem that names its key, by the key's place within the table that msgspec names.
+# A problem found by a plan's own checks: it begins with the key, as the table that msgspec names has it.
 KEYED_PROBLEM = re.compile(r"([a-z_]+(?:\[\d+\])?(?:\.[a-z_]+)?): (.*)")
 
 
@@ -44,9 +45,14 @@
 
 
 def load(path: Path, seed: int | None) -> Experiment:
-    """Read and check an experiment; `seed`, if given, goes before the file's own.
+    """Read and check an experiment.
 
-    Raises ExperimentError.
+    Args:
+        path: of the TOML file.
+        seed: takes the place of the file's own seed, unless it is None.
+
+    Raises:
+        ExperimentError: the file cannot be read, or its content is not valid.
     """
     data = _read_toml(path)
     kind = data.get(KIND_KEY)
@@ -63,7 +69,13 @@
 
 
 def run(experiment: Experiment, record: Record, progress: Progress) -> None:
-    """Play an experiment: `record` takes a line of results at a time, `progress` lines for whoever waits."""
+    """Run an experiment.
+
+    Args:
+        experiment: as `load` returned it.
+        record: takes the result lines, one by one.
+        progress: takes lines of text that show how far the run has come.
+    """
     kind = KINDS[str(type(experiment).__struct_config__.tag)]
     importlib.import_module(kind.runner).run(experiment, record, progress)
 
--- a/scale/hollow/plan.py
+++ b/scale/hollow/plan.py
@@ -1,4 +1,4 @@
-"""What a hollow experiment says: the keys of its TOML file, with their ranges.
+"""The keys of the TOML file of a hollow experiment, with their ranges.
 
 All times and durations are milliseconds, rates of quotas are units a second, as in limiter/model. A pair
 [low, high] is a range from which values are drawn evenly. Where a field's name differs from its key,
--- a/scale/process/clients.py
+++ b/scale/process/clients.py
@@ -12,21 +12,24 @@
 from scale.process.servers import Servers
 from scale.process.traffic import HEAD_END, content_length
 
-ORDER_SHARE = 0.47  # of requests that must not run twice
+# Share of the requests that are orders, which must not run twice.
+ORDER_SHARE = 0.47
 ORDER_BODY = b'{"station":"41008","wave_m":3.0}'
 
 
 class Clients:
-    """Clients: a request goes on an idle connection, or on a new one."""
+    """Clients that send each request on an idle connection, or on a new one if none is idle."""
 
     def __init__(
         self, address: tuple[str, int], limiters: int, customers: list[int], servers: Servers, rng: Random
     ) -> None:
         """Send requests to `address`, a limiter of a fleet of that size."""
         self.sent = 0
-        self.failed = 0  # requests whose connection could not be made, or was closed too early
+        # Requests without a response: their connection could not be made, or was closed too early.
+        self.failed = 0
         self.statuses: Tally[int] = Tally()
-        self.added_latencies: list[float] = []  # s that a served request took longer than at its server
+        # Seconds that each served request took longer at the client than at its server.
+        self.added_latencies: list[float] = []
         self._address = address
         self._limiters = limiters
         self._customers = customers
@@ -58,7 +61,7 @@
             await self._request_ended.wait()
 
     def close(self) -> None:
-        """Abort all connections."""
+        """Abort all connections; requests on them get no response."""
         for connection in list(self._open):
             connection.abort()
 
@@ -101,7 +104,7 @@
 
 
 def request_bytes(customer: int, request_id: str, is_order: bool, limiters: int) -> bytes:
-    """A request as a client writes it; an order is a request that must not run twice."""
+    """Write a request as a client does; an order is a request that must not run twice."""
     request_class, method = ("alert-order", "POST") if is_order else ("obs-read", "GET")
     body = ORDER_BODY if is_order else b""
     length = f"Content-Length: {len(body)}\r\n" if body else ""
@@ -124,7 +127,7 @@
 
     def __init__(self, clients: Clients) -> None:
         self._clients = clients
-        self.request_id: bytes | None = None  # of the request on it
+        self.request_id: bytes | None = None  # None while the connection is idle
         self._sent_at = 0.0
         self._received = b""
         self._transport: asyncio.Transport
--- a/scale/process/counter.py
+++ b/scale/process/counter.py
@@ -9,7 +9,7 @@
 
 from scale.process.traffic import CountedProtocol, Traffic, listen
 
-MAX_NAME_BYTES = 64
+MAX_KEY_BYTES = 64
 MAX_AMOUNT = 1e9
 
 
@@ -18,10 +18,10 @@
 
 
 class Counter:
-    """Totals by name that never expire; beyond `calls_per_s` calls in a second it is busy."""
+    """Totals by key, which never expire; beyond `calls_per_s` calls in a second it is busy."""
 
     def __init__(self, calls_per_s: float) -> None:
-        """Take that many calls a second; any number if it is 0."""
+        """Carry out up to that many calls a second; any number if it is 0."""
         self.traffic = Traffic()
         self.totals: dict[bytes, float] = {}
         self.added_calls = 0
@@ -33,12 +33,12 @@
         self._listener: asyncio.Server
 
     async def start(self) -> str:
-        """Listen; the address."""
+        """Listen for connections; return the address, `host:port`."""
         self._listener, address = await listen(lambda: _CounterConnection(self))
         return address
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop listening; connections stay open."""
         self._listener.close()
 
     def call(self, words: list[bytes]) -> bytes:
@@ -46,7 +46,7 @@
         if words[0].upper() == b"PING":
             return b"+PONG\r\n"
         try:
-            name, amount = _parse_add(words)
+            key, amount = _parse_add(words)
         except MalformedCallError:
             self.malformed_calls += 1
             return b"-ERR no such call\r\n"
@@ -54,13 +54,13 @@
             self.busy_calls += 1
             return b"-BUSY\r\n"
         self.added_calls += 1
-        total = self.totals.get(name, 0.0) + amount
-        self.totals[name] = total
+        total = self.totals.get(key, 0.0) + amount
+        self.totals[key] = total
         text = b"%.7g" % total
         return b"$%d\r\n%b\r\n" % (len(text), text)
 
     def _admit(self) -> bool:
-        """Whether a call that comes now is within the calls of its second; then it counts."""
+        """Count a call that arrives now; return False if the calls of this second are used up."""
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
@@ -72,16 +72,21 @@
 
 
 def _parse_add(words: list[bytes]) -> tuple[bytes, float]:
-    """Name and amount of `CNT.ADD name amount time-to-live`. Raises MalformedCallError."""
+    """Return key and amount of `CNT.ADD key amount time-to-live`.
+
+    Raises:
+        MalformedCallError: the call has another form.
+    """
     try:
-        command, name, amount_text, _ = words
+        command, key, amount_text, _ = words
         amount = float(amount_text)
     except ValueError as error:
         raise MalformedCallError(words) from error
-    is_valid = command == b"CNT.ADD" and 1 <= len(name) <= MAX_NAME_BYTES and abs(amount) <= MAX_AMOUNT
-    if not is_valid:  # an amount that is not a number is not within the bound either
+    is_valid = command == b"CNT.ADD" and 1 <= len(key) <= MAX_KEY_BYTES and abs(amount) <= MAX_AMOUNT
+    # The amount NaN is not valid either, since its comparison with the bound is false.
+    if not is_valid:
         raise MalformedCallError(words)
-    return name, amount
+    return key, amount
 
 
 class _CounterConnection(CountedProtocol):
--- a/scale/process/discovery.py
+++ b/scale/process/discovery.py
@@ -21,20 +21,22 @@
         """Serve that list and its changes."""
         self.traffic = Traffic()
         self.calls = 0
-        self.full_lists = 0  # calls for the whole list
+        self.full_lists = 0  # number of calls for the whole list
         self.malformed_calls = 0
-        self.acknowledged_version = endpoints.version  # the newest that a call has shown to be known
+        # The newest version that the limiter has reported to know, in a watch.
+        self.acknowledged_version = endpoints.version
         self.endpoints = endpoints
+        # Version that each watch waits to be exceeded, and the timer of its timeout.
         self.watches: dict[_DiscoveryConnection, tuple[int, asyncio.TimerHandle]] = {}
         self._listener: asyncio.Server
 
     @property
     def acknowledged_changes(self) -> int:
-        """Changes that calls have shown to be known."""
+        """Number of changes that the limiter has reported to know."""
         return self.acknowledged_version - FIRST_VERSION
 
     async def start(self) -> str:
-        """Listen; the address."""
+        """Listen for connections; return the address, `host:port`."""
         self._listener, address = await listen(lambda: _DiscoveryConnection(self))
         return address
 
@@ -45,7 +47,7 @@
             self.end_watch(connection)
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop listening; connections stay open."""
         self._listener.close()
 
     def request_received(self, connection: _DiscoveryConnection, head: bytes) -> None:
@@ -77,8 +79,8 @@
 
     def _begin_watch(self, connection: _DiscoveryConnection, version: int, timeout_ms: int) -> None:
         self.acknowledged_version = max(self.acknowledged_version, version)
-        timeout = min(MAX_WATCH_MS, timeout_ms) / 1000
-        timer = asyncio.get_running_loop().call_later(timeout, self.end_watch, connection)
+        timeout_s = min(MAX_WATCH_MS, timeout_ms) / 1000
+        timer = asyncio.get_running_loop().call_later(timeout_s, self.end_watch, connection)
         self.watches[connection] = version, timer
         if version != self.endpoints.version:
             self.end_watch(connection)
--- a/scale/process/endpoint_list.py
+++ b/scale/process/endpoint_list.py
@@ -8,33 +8,40 @@
 
 from scale.process.fleet import MACHINE_TYPE, SERVERS_PER_CELL, ZONES
 
-MAX_KEPT_CHANGES = 100_000  # for watches of older versions
+# Number of changes that are kept for watches of older versions; an older one gets the whole list.
+MAX_KEPT_CHANGES = 100_000
 
 FIRST_VERSION = 1
 
 
 class EndpointList:
-    """The list of servers. Each change of an entry is one version."""
+    """The list of servers; each change of an entry makes a new version."""
 
     def __init__(self, count: int, addresses: Sequence[str]) -> None:
         """List `count` servers; they share the addresses."""
         self.version = FIRST_VERSION
         self._addresses = addresses
-        self._next_number = 0  # of the next server
-        self._entries: dict[int, bytes] = {}  # by number, the oldest first
+        self._next_number = 0  # number that the next server gets
+        # JSON text of each entry by the server's number, in order of joining.
+        self._entries: dict[int, bytes] = {}
         self._draining: deque[int] = deque()
         self._changes: deque[bytes] = deque(maxlen=MAX_KEPT_CHANGES)
-        self._full_document: bytes | None = None  # of the present version, once it is made
+        # The whole list as JSON text; None if it was not requested since the last change.
+        self._full_document: bytes | None = None
         for _ in range(count):
             self._add(0)
 
     @property
     def change_count(self) -> int:
-        """Changes so far."""
+        """Number of changes so far, which is the version less FIRST_VERSION."""
         return self.version - FIRST_VERSION
 
     def change(self, now_ms: int) -> None:
-        """Change one entry: in turn a server joins (`now_ms` is its start), the oldest drains, leaves."""
+        """Change one entry: in turn a server joins, the oldest one drains, and it leaves.
+
+        Args:
+            now_ms: start of a server that joins.
+        """
         step = self.change_count % 3
         if step == 0:
             changed = self._add(now_ms)
--- a/scale/process/engine_benchmark.py
+++ b/scale/process/engine_benchmark.py
@@ -25,10 +25,12 @@
 # The engine has no timer with this token, so that handling the event runs the due round and nothing else.
 UNKNOWN_TIMER = TimerFired(99)
 START_MS = 1000.0
-LATENCY_MS = 20.0  # of each attempt
+# Time from sending an attempt to its end.
+LATENCY_MS = 20.0
 DEADLINE_MS = 3000.0
 COUNTER_LATENCY_MS = 1.0
-MAX_EVENT_NS = 60_000_000_000  # of the histograms
+# Highest processor time that the histograms hold.
+MAX_EVENT_NS = 60_000_000_000
 EVENT_NAMES = (
     "list",
     "round_idle",
@@ -77,7 +79,7 @@
         self._handle(name, UNKNOWN_TIMER)
 
     def receive_gossip(self, sender: int, body: bytes) -> None:
-        """Another limiter's message."""
+        """Hand another limiter's message to the engine, and note its sender if the engine took it in."""
         self.feed("message", GossipReceived(sender, body))
         gossip = self._engine.gossip
         if gossip.last_message_at == self.now:
@@ -109,11 +111,12 @@
                 reply = CounterReply(action.key, Outcome.OK, total, COUNTER_LATENCY_MS)
                 actions += self.feed("counter_reply", reply)
             elif isinstance(action, SetTimer) and action.token == Timer.USAGE_GOSSIP:
-                self.feed("tell", TimerFired(Timer.USAGE_GOSSIP))  # sent at once: nothing piles up
+                # Usage is gossiped at once, so that no unreported usage accumulates.
+                self.feed("tell", TimerFired(Timer.USAGE_GOSSIP))
         return attempts
 
     def end_attempt(self, attempt: SendAttempt) -> None:
-        """An attempt was served, and its request is finished."""
+        """End an attempt as served, and with it its request."""
         event = AttemptEnded(
             request_id=attempt.request_id,
             attempt=0,
--- a/scale/process/engine_sweep.py
+++ b/scale/process/engine_sweep.py
@@ -1,7 +1,8 @@
 """Experiments of the kind `module`: processor time of the policy engine's events, and its memory.
 
-Each size has a fresh interpreter, so that nothing of the one before is counted. Times are processor time of
-the thread in microseconds, as the median and the 99th percentile; garbage collection falls on whom it meets.
+Each size has a fresh interpreter, so that nothing of the size before is counted. Times are processor time of
+the thread in microseconds, as the median and the 99th percentile. A garbage collection counts in the event
+during which it happens.
 """
 
 from __future__ import annotations
@@ -34,11 +35,13 @@
 
 CHANGE_INTERVAL_MS = 1.0
 FIRST_GOSSIP_INTERVAL_MS = 2.0
-# All customers send their requests within this time, so that none is forgotten before the last has.
+# All customers send their requests within this time, so that the engine does not forget the first customers
+# before the last ones have sent theirs.
 ALL_REQUESTS_MS = 50_000.0
-GOSSIP_INTERVAL_MS = 1000.0 / (INTAKE_SHARE * GOSSIP_INTAKE_PER_S)  # between two messages of any peers
-# So many requests, by the number of attempts to keep in flight, are tried: some are rejected.
-MAX_IN_FLIGHT_TRIES = 4
+# Interval between two messages that the engine receives, from whichever peers.
+GOSSIP_INTERVAL_MS = 1000.0 / (INTAKE_SHARE * GOSSIP_INTAKE_PER_S)
+# Requests to send for each attempt that is to stay in flight, at most, as some requests are rejected.
+MAX_REQUESTS_PER_IN_FLIGHT = 4
 
 TIMED_EVENTS = ("round_idle", "round", "change", "message", "request", "ended")
 SLOPE_FIGURES = (
@@ -74,7 +77,7 @@
 
 
 def run(experiment: PolicyEngineExperiment, record: Record, progress: Progress) -> None:
-    """Play all sizes; a record for each, then the slopes over what was swept."""
+    """Run all sizes; record a line for each, then the slopes over what was swept."""
     lines: list[ResultLine] = []
     spawn = multiprocessing.get_context("spawn")
     for sizes in itertools.product(experiment.servers, experiment.limiters, experiment.customers):
@@ -90,7 +93,7 @@
 
 
 def measure(experiment: PolicyEngineExperiment, size: Size) -> ResultLine:
-    """Measure one size, in an interpreter of its own; the result line."""
+    """Measure one size, in an interpreter of its own; return its result line."""
     figures: ResultLine = {
         "kind": "module",
         "line": "size",
@@ -104,7 +107,7 @@
 
 
 class SizeRun:
-    """One size: list, rounds, changes, gossip on each customer, a request of each, and rounds again."""
+    """One size: the list, rounds, changes, gossip on each customer, a request of each, and rounds again."""
 
     def __init__(self, experiment: PolicyEngineExperiment, size: Size) -> None:
         """Make the policy engine, with nothing listed yet."""
@@ -160,7 +163,7 @@
             self._bench.feed("change", EndpointsChanged((endpoint,), is_full_list=False))
 
     def _receive_gossip_of_all(self) -> None:
-        """Messages that report on each customer, and one of each other limiter at least."""
+        """Hand over messages that report on each customer, at least one of each other limiter."""
         entries = self._experiment.entries
         messages = max(math.ceil(self._size.customers / entries), self._size.limiters - 1)
         for index in range(messages):
@@ -170,7 +173,7 @@
             self._bench.receive_gossip(next(self._senders), body)
 
     def _request_of_each(self) -> int:
-        """A request of each customer, served at once, with gossip all the while; how many were rejected."""
+        """Send a request of each customer, with gossip meanwhile; return how many were rejected."""
         bench = self._bench
         rejected = 0
         interval = min(LATENCY_MS, ALL_REQUESTS_MS / self._size.customers)
@@ -192,11 +195,11 @@
         self._bench.receive_gossip(next(self._senders), body)
 
     def _fill_in_flight(self) -> int:
-        """Requests until as many attempts as wanted stay in flight; how many do."""
+        """Send requests until as many attempts as wanted stay in flight; return how many do."""
         wanted = self._experiment.in_flight
         first_number = self._size.customers
         in_flight = 0
-        for number in range(first_number, first_number + MAX_IN_FLIGHT_TRIES * wanted):
+        for number in range(first_number, first_number + MAX_REQUESTS_PER_IN_FLIGHT * wanted):
             in_flight += len(self._bench.request(number, self._population[number % self._size.customers]))
             if in_flight >= wanted:
                 break
@@ -219,7 +222,7 @@
 
 
 def _changes(servers: int, count: int, started_at: float) -> Iterator[Endpoint]:
-    """Entries as they change: in turn one joins, the oldest drains, and leaves."""
+    """Changed entries: in turn a server joins, the oldest one drains, and it leaves."""
     for index in range(count):
         oldest, step = divmod(index, 3)
         if step == 0:
@@ -229,6 +232,6 @@
 
 
 def _resident_mb() -> float:
-    """MB that are resident now, after a collection."""
+    """Resident memory after a garbage collection, in MB of 10**6 bytes."""
     gc.collect()
     return status_mb(os.getpid(), "VmRSS")
--- a/scale/process/environment.py
+++ b/scale/process/environment.py
@@ -23,7 +23,8 @@
 class Environment:
     """Servers, discovery, counter, gossip peers and clients of the limiter under test."""
 
-    endpoints: EndpointList  # these two from `start` on
+    # `start` makes both, as they need the addresses of the servers.
+    endpoints: EndpointList
     discovery: Discovery
 
     def __init__(self, experiment: ProcessExperiment, servers: int, limiters: int, rng: Random) -> None:
@@ -32,8 +33,8 @@
         self.limiters = limiters
         self.servers = Servers(experiment.work_ms)
         self.counter = Counter(experiment.counter_per_s)
-        self.clients: Clients | None = None  # from `start_clients` on
-        self.delays: list[float] = []  # seconds that emulated peers acted too late, in this phase
+        self.clients: Clients | None = None  # until `start_clients` makes them
+        self.delays: list[float] = []  # seconds by which each action of this phase was late
         self._endpoint_count = servers
         self._rng = rng
         self._customers = rng.sample(range(CUSTOMER_IDS), experiment.customers)
@@ -74,7 +75,7 @@
             self.clients.close()
 
     def counts(self) -> Tally[str]:
-        """All that is counted, by the names of the result lines; differences of two are what came between."""
+        """All that was counted so far, by the keys of the result lines."""
         tally = Tally(
             watches=self.discovery.calls,
             changes=self.endpoints.change_count,
@@ -96,7 +97,7 @@
         return tally
 
     async def repeat(self, action: Callable[[], None], per_s: float, seconds: float) -> None:
-        """Call `action` at that rate, evenly, from now on; delayed calls are made up for."""
+        """Call `action` at that rate, evenly, from now on; a late call shifts none of the later ones."""
         if not per_s:
             return
         started_at = time.monotonic()
--- a/scale/process/fleet.py
+++ b/scale/process/fleet.py
@@ -1,6 +1,6 @@
 """The fleet as the limiter under test knows it: its settings, and the gossip of the other limiters.
 
-Classes and plans are those of savannah-main; times are milliseconds, rates units a second.
+Classes and plans are those of the site savannah-main. Times are milliseconds, rates are units a second.
 """
 
 from __future__ import annotations
@@ -10,17 +10,20 @@
 
 from limiter.codecs.gossip_messages import UsageWriter
 
-GOSSIP_INTAKE_PER_S = 40  # messages that a limiter takes in
-MAX_LIMITER_SET_SIZE = 40  # limiters that a customer's requests come in through
+# Gossip messages that a limiter takes in.
+GOSSIP_INTAKE_PER_S = 40
+# Number of limiters that a customer's requests come in through, in a fleet that has so many.
+MAX_LIMITER_SET_SIZE = 40
 PLANS = ("basic", "pro", "fleet")
 ZONES = ("room-a", "room-b", "room-c")
 MACHINE_TYPE = "small-2c"
 SERVERS_PER_CELL = 40
-CUSTOMER_IDS = 2**33  # customers are drawn from so many
+# Customers' ids are drawn below this bound.
+CUSTOMER_IDS = 2**33
 
 
 def settings_document(limiters: int, discovery: str) -> dict[str, object]:
-    """The configuration's `settings` of limiter 0 of a fleet of that size."""
+    """Make the configuration's `settings` of limiter 0 of a fleet of that size."""
     quota = {"beyondCosts": 0.8}
     return {
         "me": 0,
@@ -46,12 +49,12 @@
 
 
 def plan_of(customer: int) -> int:
-    """Number of a customer's plan: an account has one for good."""
+    """Number of a customer's plan, which follows from its id and never changes."""
     return customer % len(PLANS)
 
 
 def gossip_message(rng: Random, customers: Sequence[int]) -> bytes:
-    """A message of another limiter: one unit forwarded for each customer."""
+    """Make a message of another limiter that reports one forwarded unit for each customer."""
     in_flight = rng.randrange(3)
     mean_latency_ms = rng.randrange(100, 300)
     writer = UsageWriter(in_flight, mean_latency_ms)
--- a/scale/process/fleet_load.py
+++ b/scale/process/fleet_load.py
@@ -17,8 +17,8 @@
 
     limiters: int
     discovery_is_pushed: bool
-    changes_per_s: float  # of the endpoint list
-    requests_per_s: float  # at each limiter
+    changes_per_s: float  # changes of the endpoint list
+    requests_per_s: float  # requests at each limiter
     counter_calls_per_request: float
     gossip_intake_per_s: float  # messages that each limiter may take in
 
@@ -28,17 +28,16 @@
     """Calls and messages a second, of all limiters together unless said otherwise."""
 
     discovery_calls: float  # watches that end, with changes or without
-    discovery_entries: float  # entries of the list written
+    discovery_entries: float  # entries of the list in responses of discovery
     counter_calls: float
-    gossip_interval_s: float  # between two messages of one limiter, to all others
-    datagrams: float  # one to each other limiter
+    gossip_interval_s: float  # time between two messages of one limiter, each to all others
+    datagrams: float  # gossip datagrams; a message is one to each other limiter
 
 
 def fleet_load(fleet: LimiterFleet) -> FleetLoad:
     """Derive the load of a fleet on counter, discovery and gossip.
 
-    Changes that come one by one end a watch each; without changes one ends after the time that its pacing
-    gives it.
+    A change of the list ends all watches. A watch without a change ends after the time that its pacing gives.
     """
     watch_s = PollPacing.of(fleet.limiters, fleet.discovery_is_pushed).wait / 1000
     peers = fleet.limiters - 1
--- a/scale/process/gossip_peers.py
+++ b/scale/process/gossip_peers.py
@@ -11,8 +11,10 @@
 from scale.process.fleet import gossip_message
 from scale.process.traffic import Traffic
 
-IP_PKTINFO = 8  # names the source address of one datagram: Linux, ip(7)
-DATAGRAM_BYTES = 2048  # read at most
+# Linux's control message that gives the source address of one datagram, see ip(7).
+IP_PKTINFO = 8
+# Bytes of a datagram that are read at most.
+DATAGRAM_BYTES = 2048
 
 
 class GossipConfig(TypedDict):
@@ -24,21 +26,23 @@
 
 
 class GossipPeers:
-    """The other limiters: each has an address of its own in 127.64/10, all are played through one socket."""
+    """The other limiters: each has its own address in 127.64/10, and all share one socket."""
 
     def __init__(self, limiters: int, customers: list[int], entries: int, rng: Random) -> None:
-        """Play all limiters but number 0; a message reports on `entries` of the customers."""
+        """Emulate all limiters but number 0; a message reports on `entries` of the customers."""
         self.traffic = Traffic()
         self.sent = 0  # datagrams to the limiter under test
-        self.received = 0  # datagrams from it
-        self.turn = 0  # messages sent or dropped so far; the peers send in turn
+        self.received = 0  # datagrams from the limiter under test
+        # Messages sent or dropped so far, by which the next sender is chosen.
+        self.turn = 0
         self._limiters = limiters
         self._customers = customers
         self._entries = entries
         self._rng = rng
         self._sender = _udp_socket()
         self._receiver = _udp_socket()
-        with _udp_socket() as reserved:  # the limiter under test binds its address
+        # The socket's address is free again once it is closed; the limiter under test binds it.
+        with _udp_socket() as reserved:
             self.limiter_address: tuple[str, int] = reserved.getsockname()
         self._port = self._sender.getsockname()[1]
 
@@ -47,7 +51,7 @@
         asyncio.get_running_loop().add_reader(self._receiver, self._read)
 
     def close(self) -> None:
-        """Read no more, and close the sockets."""
+        """Stop reading, and close the sockets."""
         asyncio.get_running_loop().remove_reader(self._receiver)
         self.close_sockets()
 
@@ -93,7 +97,7 @@
 
 
 def _udp_socket() -> socket.socket:
-    """A socket on a free port of loopback that does not block."""
+    """Open a socket on a free port of loopback that does not block."""
     udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     udp_socket.bind(("127.0.0.1", 0))
     udp_socket.setblocking(False)
--- a/scale/process/limiter_process.py
+++ b/scale/process/limiter_process.py
@@ -11,15 +11,17 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from scale.errors import ProcessStatusError
-
 ROOT = Path(__file__).parent.parent.parent
-TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")  # of processor time
+# Unit in which the kernel reports processor time.
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 HEALTH_POLL_SECONDS = 0.02
 HEALTH_TIMEOUT_SECONDS = 2.0
-STOP_SECONDS = 6.0  # from SIGTERM to the kill
-LISTENING_LINE = re.compile(r"listening name=.* address=(.*):(\d+)")  # of the limiter's log
-LOG_TIME_LENGTH = 24  # characters of a log line before the level
+# Time that the limiter has from SIGTERM to SIGKILL.
+STOP_SECONDS = 6.0
+# Line of the limiter's log that has the address on which it listens for clients.
+LISTENING_LINE = re.compile(r"listening name=.* address=(.*):(\d+)")
+# Length of the time at the start of a log line, in characters, before the level.
+LOG_TIME_LENGTH = 24
 
 
 class LimiterProcess:
@@ -28,7 +30,7 @@
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         """Follow the log of a process that was started just now."""
         self.address: tuple[str, int] | None = None
-        self.warnings: list[str] = []  # log lines that are no mere information
+        self.warnings: list[str] = []  # log lines of a level other than INFO
         self._process = process
         self._started_at = time.monotonic()
         self._log_reader = asyncio.create_task(self._read_log())
@@ -50,7 +52,10 @@
         return cls(process)
 
     async def wait_until_ready(self, within_seconds: float) -> float | None:
-        """Seconds from the start until `/_health` answers 200; None if that takes longer than allowed."""
+        """Wait until `/_health` responds with 200; return the seconds since the start.
+
+        None if the process ends, or if that takes longer than allowed.
+        """
         while self._age() < within_seconds and self._process.returncode is None:
             if self.address is not None and await _health_status(self.address) == 200:
                 return self._age()
@@ -58,7 +63,7 @@
         return None
 
     def processor_seconds(self) -> float:
-        """Processor time so far, user's and system's; a tick of the kernel's is the finest."""
+        """Processor time so far, of user and system, in steps of the kernel's tick."""
         stat = Path(f"/proc/{self._process.pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
         user_ticks = int(fields[11])
@@ -66,11 +71,11 @@
         return (user_ticks + system_ticks) / TICKS_PER_SECOND
 
     def memory_mb(self, key: str) -> float:
-        """`VmHWM`, the most that was resident, or `VmRSS`, what is now; in MB of 10**6 bytes."""
+        """Resident memory in MB of 10**6 bytes: the peak for the key `VmHWM`, the present for `VmRSS`."""
         return status_mb(self._process.pid, key)
 
     async def stop(self) -> int:
-        """Exit code after SIGTERM, or after SIGKILL where it does not end."""
+        """End the process by SIGTERM, or by SIGKILL if that takes too long; return its exit code."""
         if self._process.returncode is None:
             self._process.terminate()
             try:
@@ -112,9 +117,14 @@
 
 
 def status_mb(pid: int, key: str) -> float:
-    """A line of /proc/PID/status, in MB of 10**6 bytes. Raises ProcessStatusError if there is none."""
+    """Read a line of /proc/PID/status, in MB of 10**6 bytes.
+
+    Raises:
+        LookupError: the kernel reports no such figure of the process.
+    """
     text = Path(f"/proc/{pid}/status").read_text()
     line = re.search(rf"(?m)^{key}:\s+(\d+) kB", text)
     if line is None:
-        raise ProcessStatusError(pid, key)
+        message = f"no {key} of process {pid}"
+        raise LookupError(message)
     return int(line[1]) * 1024 / 1e6
--- a/scale/process/phases.py
+++ b/scale/process/phases.py
@@ -19,8 +19,10 @@
 from scale.process.limiter_process import LimiterProcess
 from scale.process.plan import ProcessExperiment
 
-RESPONSE_TIMEOUT_SECONDS = 4.0  # after the last request: its deadline and a second
-MAX_LATENCY_US = 60_000_000  # of the histogram
+# Time from the last request until a missing response counts as lost: the request's deadline and a second.
+RESPONSE_TIMEOUT_SECONDS = 4.0
+# Highest latency that the histogram holds.
+MAX_LATENCY_US = 60_000_000
 
 
 class ResponseFigures(TypedDict):
@@ -56,20 +58,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """What a phase took."""
+    """Time of a phase, processor time of the limiter, and what the emulated peers counted meanwhile."""
 
     seconds: float
-    processor_seconds: float  # of the limiter
+    processor_seconds: float  # processor time of the limiter
     counts: Tally[str]  # what the emulated peers counted
 
     @property
     def cores(self) -> float:
-        """Processor seconds a second."""
+        """Processor seconds of the limiter a second."""
         return round(self.processor_seconds / self.seconds, 4)
 
 
 def phases_of(experiment: ProcessExperiment) -> tuple[Phase, ...]:
-    """Each phase has what the one before it has and one thing more, so that differences are that thing's."""
+    """Each phase has the load of the one before and one kind more, whose cost is the difference."""
     datagrams = experiment.datagrams_per_s
     changes = experiment.changes_per_s
     return (
@@ -81,11 +83,11 @@
 
 
 async def play_phases(environment: Environment, limiter: LimiterProcess) -> list[ResultLine]:
-    """Play all phases on a limiter that is ready; the figures of each."""
-    assert limiter.address is not None  # ready
+    """Run all phases on a limiter that is ready; return the figures of each."""
+    assert limiter.address is not None
     clients = environment.start_clients(limiter.address)
     lines: list[ResultLine] = []
-    cores_before: float | None = None  # of the phase before
+    cores_before: float | None = None  # figure of the phase before
     for phase in phases_of(environment.experiment):
         await asyncio.sleep(environment.experiment.settle_s)
         measurement = await _play_phase(environment, limiter, clients, phase)
@@ -150,7 +152,7 @@
 
 
 def _response_figures(clients: Clients) -> ResponseFigures:
-    """What came back, by status, and the latency added to what was served.
+    """Count responses by status, and measure the latency added to served requests.
 
     That latency is the time from writing a request to reading its whole response, less the server's own time.
     It includes what the emulated peers take of the same machine.
@@ -165,7 +167,7 @@
 
 
 def _percentile_ms(seconds: list[float], percentile: float) -> float | None:
-    """In ms; None of nothing."""
+    """Compute a percentile in ms; None without values."""
     if not seconds:
         return None
     histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
--- a/scale/process/plan.py
+++ b/scale/process/plan.py
@@ -1,4 +1,4 @@
-"""What experiments of the kinds `process` and `module` say: the keys of their files, with their ranges."""
+"""The keys of experiment files of the kinds `process` and `module`, with their ranges."""
 
 from __future__ import annotations
 
@@ -19,22 +19,29 @@
 ):
     """A process for each of `servers` x `limiters`, in four phases of load."""
 
-    servers: Sizes  # in the endpoint list
-    limiters: Limiters  # number of limiters of the fleet, the one under test included
+    servers: Sizes  # numbers of servers in the endpoint list
+    limiters: Limiters  # numbers of limiters of the fleet, the one under test included
     seed: Annotated[int, Meta(ge=0)] = 1
     discovery: Literal["pushed", "on_request"] = "pushed"
     # Whether the configuration has the list as last seen.
     has_known_list: bool = msgspec.field(name="known", default=False)
-    listeners: Annotated[int, Meta(ge=1, le=256)] = 16  # sockets that the servers share
-    changes_per_s: Rate = 0.44  # entries of the list that change: joins, drains and leaves in turn
-    datagrams_per_s: Rate = 32.0  # gossip of the other limiters that reaches this one
-    entries: Annotated[int, Meta(ge=0, le=48)] = 25  # customers in one gossip message
+    # Number of sockets that all servers share.
+    listeners: Annotated[int, Meta(ge=1, le=256)] = 16
+    # Changes of the endpoint list: in turn a server joins, drains and leaves.
+    changes_per_s: Rate = 0.44
+    # Gossip messages of other limiters that are sent to the one under test.
+    datagrams_per_s: Rate = 32.0
+    # Number of customers that one gossip message reports on.
+    entries: Annotated[int, Meta(ge=0, le=48)] = 25
     requests_per_s: Rate = 50.0
     customers: Size = 10_000
-    work_ms: Annotated[float, Meta(ge=0.0, le=1000.0)] = 20.0  # a server's time for a request
-    counter_per_s: Rate = 0.0  # calls that the counter takes, beyond them it is busy; 0: any
+    # Time from a server's receiving a request to its response.
+    work_ms: Annotated[float, Meta(ge=0.0, le=1000.0)] = 20.0
+    # Calls that the counter carries out; it rejects those beyond as busy. With 0 it carries out all.
+    counter_per_s: Rate = 0.0
     phase_s: Seconds = 10.0
-    settle_s: Seconds = 1.0  # before each phase, counted in none
+    # Time before each phase that counts in none.
+    settle_s: Seconds = 1.0
     ready_within_s: Seconds = 30.0
 
 
@@ -45,11 +52,14 @@
 
     servers: Sizes
     limiters: Limiters
-    customers: Sizes  # each in gossip messages, then each with a request of its own
+    # Numbers of customers; gossip reports on each of them, then each sends a request.
+    customers: Sizes
     seed: Annotated[int, Meta(ge=0)] = 1
-    entries: Annotated[int, Meta(ge=1, le=48)] = 25  # customers in one gossip message
+    # Number of customers that one gossip message reports on.
+    entries: Annotated[int, Meta(ge=1, le=48)] = 25
     changes: Size = 100
     rounds: Size = 20
-    # Attempts in flight during the rounds.
+    # Number of attempts in flight during the last rounds.
     in_flight: Annotated[int, Meta(ge=0, le=1000)] = msgspec.field(name="open", default=8)
-    restarted: Annotated[float, Meta(ge=0.0, le=1.0)] = 0.0  # share of the servers whose start is known
+    # Share of the servers whose start is known.
+    restarted: Annotated[float, Meta(ge=0.0, le=1.0)] = 0.0
--- a/scale/process/run.py
+++ b/scale/process/run.py
@@ -24,7 +24,7 @@
     discovery: str
     known: bool
     seed: int
-    ready_s: float | None  # None: not within the experiment's time
+    ready_s: float | None  # None if it was not ready within the experiment's time
     start_processor_s: float
     list_bytes: int
     lists_asked: int
@@ -46,7 +46,7 @@
 
 
 def run(experiment: ProcessExperiment, record: Record, progress: Progress) -> None:
-    """Play all sizes one after another; a record for each start, for each phase, and for each slope."""
+    """Run all sizes one after another; record a line for each start, each phase and each slope."""
     lines: list[ResultLine] = []
 
     def keep(line: ResultLine) -> None:
@@ -64,7 +64,7 @@
 def _record_slopes(
     experiment: ProcessExperiment, swept: str, lines: list[ResultLine], record: Record
 ) -> None:
-    """Slopes over what was swept: of the starts, then of each phase."""
+    """Record slopes over what was swept: those of the starts, then those of each phase."""
     size_lines = [line for line in lines if line["line"] == "size" and line["ready_s"] is not None]
     for slope in fit_slopes("process", swept, size_lines, SIZE_FIGURES):
         record({**slope, "phase": ""})
--- a/scale/process/servers.py
+++ b/scale/process/servers.py
@@ -13,14 +13,12 @@
 
 
 class Servers:
-    """Servers: all that share a socket respond alike, to each request after the same work."""
+    """Servers, of which all that share a socket respond alike, to each request after the same work."""
 
     def __init__(self, work_ms: float) -> None:
         """Respond to each request after `work_ms`."""
         self.traffic = Traffic()
-        self.service_times: dict[
-            bytes, float
-        ] = {}  # by request id: seconds from its last byte to the response
+        self.service_times: dict[bytes, float] = {}  # by request id, see below
         self.response_count = 0
         self.without_id = 0
         self.addresses: list[str] = []
@@ -35,7 +33,7 @@
             self.addresses.append(address)
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop listening; connections stay open."""
         for listener in self._listeners:
             listener.close()
 
--- a/scale/process/traffic.py
+++ b/scale/process/traffic.py
@@ -9,15 +9,17 @@
 
 CONTENT_LENGTH = re.compile(rb"(?i)\r\ncontent-length: *(\d+)")
 HEAD_END = b"\r\n\r\n"
-WRITE_BYTES = 65_536  # written at once
-LISTEN_BACKLOG = 1024  # connections
+# Bytes of a response that are written at once.
+WRITE_BYTES = 65_536
+# Connections that the kernel queues for a listening socket.
+LISTEN_BACKLOG = 1024
 
 
 class Traffic:
     """Payload bytes between the limiter under test and one kind of peer, as the limiter sees them."""
 
     def __init__(self) -> None:
-        """Count nothing yet."""
+        """Set all counts to 0."""
         self.bytes_in = 0
         self.bytes_out = 0
         self.connections = 0
@@ -27,17 +29,17 @@
     """One connection whose bytes are counted."""
 
     def __init__(self, traffic: Traffic) -> None:
-        """Count into `traffic`."""
+        """Take the counts that this connection adds to."""
         self.traffic = traffic
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection."""
+        """Count the connection as open, and keep its transport."""
         self.transport = cast(asyncio.Transport, transport)
         self.traffic.connections += 1
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Write no more."""
+        """Drop the transport, so that later writes do nothing."""
         self.transport = None
 
     def write(self, data: bytes | memoryview) -> None:
@@ -62,7 +64,7 @@
         self._is_paused = True
 
     def resume_writing(self) -> None:
-        """Write on."""
+        """Continue with the rest of the response."""
         self._is_paused = False
         self._write_pieces()
 
@@ -89,7 +91,7 @@
         self._write_pieces()
 
     def _write_pieces(self) -> None:
-        """A piece at a time, as the peer reads; what the kernel holds when it hangs up counts too."""
+        """Write the response in pieces as the peer reads; bytes held by the kernel are counted too."""
         while self._unwritten and not self._is_paused and self.transport is not None:
             piece = self._unwritten[:WRITE_BYTES]
             self._unwritten = self._unwritten[WRITE_BYTES:]
@@ -103,7 +105,7 @@
 
 
 async def listen(protocol_factory: Callable[[], asyncio.Protocol]) -> tuple[asyncio.Server, str]:
-    """Listen on a free port of loopback; the server and its `host:port`."""
+    """Listen on a free port of loopback; return the server and its address, `host:port`."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(protocol_factory, "127.0.0.1", 0, backlog=LISTEN_BACKLOG)
     return server, "{}:{}".format(*server.sockets[0].getsockname()[:2])
--- a/scale/results.py
+++ b/scale/results.py
@@ -17,7 +17,7 @@
 
 
 class Results:
-    """Takes records, writes each as a JSON line at once, and shows all of them in the end."""
+    """Takes result lines, writes each as JSON at once, and shows all of them as tables in the end."""
 
     def __init__(self, out: TextIO) -> None:
         """Write the lines to `out`."""
@@ -31,7 +31,7 @@
         self._out.flush()
 
     def show(self, err: TextIO) -> None:
-        """Show the records as tables: those with the same keys together."""
+        """Show the records as tables: a table for all records with the same keys."""
         console = Console(file=err, width=None if err.isatty() else FILE_WIDTH)
         lines_by_keys: dict[tuple[str, ...], list[ResultLine]] = {}
         for line in self._lines:
