--- a/scale/hollow/plan.py
+++ b/scale/hollow/plan.py
@@ -53,8 +53,7 @@
     """A class of requests, and its share of all first requests."""
 
     share: Share
-    # Mean work of a request, in ms of one core of a server past its slow start. Each request's work is drawn
-    # from an exponential distribution.
+    # Mean of the exponential distribution of work, in ms of one core of a server past its slow start.
     work: Positive
     latency_objective: Positive = msgspec.field(name="aim")
     deadline: Positive
--- a/scale/hollow/result_lines.py
+++ b/scale/hollow/result_lines.py
@@ -22,7 +22,8 @@
 MAX_AGE_STEPS = 10_000_000
 MAX_LATENCY_US = 60_000_000
 
-Quantiles = dict[str, float | None]  # by the names of QUANTILE_LEVELS; None if there are no values
+# Quantiles by the names of QUANTILE_LEVELS; each is None if there are no values.
+Quantiles = dict[str, float | None]
 
 
 class RequestFigures(TypedDict):
@@ -33,8 +34,8 @@
     served: int
     refused: int
     failed: int
-    lost: int  # by the kill of their limiter
-    unreachable: int  # because their limiter was down
+    lost: int  # requests whose limiter was killed
+    unreachable: int  # requests whose limiter was down
     by_driver: int  # requests that the driver ended at their deadline, before the policy engine did
     served_share: float | None
     refused_share: float | None
@@ -44,7 +45,7 @@
     beyond_share: float | None
     attempts: int
     outcomes: dict[str, int]  # number of attempts by outcome
-    latency_ms: Quantiles  # of served requests
+    latency_ms: Quantiles  # latency of served requests
 
 
 class CounterFigures(TypedDict):
@@ -57,7 +58,7 @@
 
 
 class GossipFigures(TypedDict):
-    """Messages between limiters."""
+    """Number and rate of gossip messages between limiters."""
 
     tells: int  # messages, each sent to all other limiters
     messages_sent_per_s: dict[str, float]  # datagrams; mean and maximum over limiters
--- a/scale/hollow/tally.py
+++ b/scale/hollow/tally.py
@@ -103,7 +103,7 @@
         RECOVERED_RATIO times that level. The recovery takes 0 ms if no window had more, and is None if the
         last one still has more.
         """
-        width = max(1, round(self._window / BIN_MS))  # of a window, in bins
+        width = max(1, round(self._window / BIN_MS))  # bins in a window
         bin_count = int(self._duration / BIN_MS)
         sums = {end: sum(self.bins[end - width : end]) for end in range(width, bin_count + 1)}
         fault_bin = fault_at / BIN_MS
--- a/scale/process/environment.py
+++ b/scale/process/environment.py
@@ -33,7 +33,8 @@
         self.limiters = limiters
         self.servers = Servers(experiment.work_ms)
         self.counter = Counter(experiment.counter_per_s)
-        self.clients: Clients | None = None  # until `start_clients` makes them
+        # None until the limiter is ready and `start_clients` is called.
+        self.clients: Clients | None = None
         self.delays: list[float] = []  # seconds by which each action of this phase was late
         self._endpoint_count = servers
         self._rng = rng
--- a/scale/process/fleet.py
+++ b/scale/process/fleet.py
@@ -10,7 +10,7 @@
 
 from limiter.codecs.gossip_messages import UsageWriter
 
-# Gossip messages that a limiter takes in.
+# Gossip messages a second that a limiter takes in.
 GOSSIP_INTAKE_PER_S = 40
 # Number of limiters that a customer's requests come in through, in a fleet that has so many.
 MAX_LIMITER_SET_SIZE = 40
--- a/scale/process/servers.py
+++ b/scale/process/servers.py
@@ -18,7 +18,8 @@
     def __init__(self, work_ms: float) -> None:
         """Respond to each request after `work_ms`."""
         self.traffic = Traffic()
-        self.service_times: dict[bytes, float] = {}  # by request id, see below
+        # Seconds from a request's last byte to its response, by request id.
+        self.service_times: dict[bytes, float] = {}
         self.response_count = 0
         self.without_id = 0
         self.addresses: list[str] = []
--- a/scale/process/slopes.py
+++ b/scale/process/slopes.py
@@ -41,25 +41,28 @@
         ]
         if len({size for size, _ in points}) < MIN_SIZES:
             continue
-        sizes, values = zip(*points, strict=True)
-        slope, intercept = statistics.linear_regression(sizes, values)
-        is_constant = len(set(values)) == 1
-        determination = 1.0 if is_constant else statistics.correlation(sizes, values) ** 2
-        records.append(
-            {
-                "kind": kind,
-                "line": "slope",
-                "of": figure,
-                "over": swept,
-                "each": slope,
-                "at_none": intercept,
-                "r2": round(determination, 4),
-                "points": len(points),
-            }
-        )
+        records.append(_slope_line(kind, swept, figure, points))
     return records
 
 
+def _slope_line(kind: str, swept: str, figure: str, points: list[tuple[float, float]]) -> SlopeLine:
+    """Fit one line to the points, each a size and the figure's value there."""
+    sizes, values = zip(*points, strict=True)
+    slope, intercept = statistics.linear_regression(sizes, values)
+    is_constant = len(set(values)) == 1
+    determination = 1.0 if is_constant else statistics.correlation(sizes, values) ** 2
+    return {
+        "kind": kind,
+        "line": "slope",
+        "of": figure,
+        "over": swept,
+        "each": slope,
+        "at_none": intercept,
+        "r2": round(determination, 4),
+        "points": len(points),
+    }
+
+
 def _number(value: object) -> float:
     """A value of a result line that is known to be a number."""
     assert isinstance(value, float | int)
--- a/tests/scale/test_process_emulated_peers.py
+++ b/tests/scale/test_process_emulated_peers.py
@@ -28,7 +28,8 @@
 from scale.process.servers import Servers
 from tests.support.waiting import wait_until
 
-TIMEOUT_SECONDS = 10.0  # of an exchange over a socket
+# Time after which an exchange over a socket fails its test.
+TIMEOUT_SECONDS = 10.0
 EMPTY_LINE = b"\r\n\r\n"
 MAX_DATAGRAM_BYTES = 256
 
