--- a/scale/hollow/__init__.py
+++ b/scale/hollow/__init__.py
@@ -1,7 +1,7 @@
 """Many policy engines in one process and on one virtual clock, among simulated peers.
 
 What is real: `limiter.policy.engine.PolicyEngine`, one for each limiter, its events and its actions. The
-driver around it does what limiter/transport/proxy.py does. What is modelled: the network, gossip between
+driver around it does what limiter/transport/driver does. What is modelled: the network, gossip between
 limiters, counter, discovery, servers, and customers with quotas; connections are free and never wait.
 What is left out: handshakes, load reports, health checks, processor time, and errors of servers.
 
@@ -13,7 +13,9 @@
 | `customers`, `quota` | customers and their first requests, drawn ahead; the true state of their quotas |
 | `clients`, `requests`, `attempts` | requests and retries, their one final outcome, attempts on servers |
 | `faults` | what an experiment stops, and when it is back |
-| `clock`, `network`, `counter`, `discovery`, `server`, `servers` | the simulated peers |
+| `clock` | the virtual clock, which the simulations of tests/support use too |
+| `network`, `counter`, `discovery`, `server`, `servers` | the simulated peers |
+| `slow_start` | capacity of a server during slow start, which the simulations of tests/support use too |
 | `tally`, `gossip_age` | what is counted, and the age of gossip |
 | `run`, `result_lines` | running an experiment, and its result lines |
 
--- a/scale/hollow/clock.py
+++ b/scale/hollow/clock.py
@@ -14,9 +14,9 @@
 class VirtualClock:
     """Runs callbacks at virtual times; nothing waits for real time."""
 
-    def __init__(self) -> None:
-        """Start at time 0 with nothing scheduled."""
-        self.now = 0.0
+    def __init__(self, start: float = 0.0) -> None:
+        """Start at a time in ms, with nothing scheduled."""
+        self.now = start
         self.run_limit = math.inf  # ms; time at which the present `run` ends
         # By time, then by the order of scheduling: callbacks and their arguments.
         self.queue: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
--- a/scale/hollow/server.py
+++ b/scale/hollow/server.py
@@ -10,6 +10,7 @@
 from limiter.model.events import Endpoint, EndpointState, Outcome
 from scale.hollow.clock import VirtualClock
 from scale.hollow.plan import ServerParameters
+from scale.hollow.slow_start import slow_start_capacity, tolerated_arrivals
 
 
 class ServerJob:
@@ -64,12 +65,7 @@
         """Present capacity as a share of the full one; during slow start it grows linearly."""
         parameters = self._parameters
         age = self._clock.now - self.started_at
-        if age >= parameters.slow_start_duration:
-            return 1.0
-        return (
-            parameters.slow_start_capacity
-            + (1 - parameters.slow_start_capacity) * age / parameters.slow_start_duration
-        )
+        return slow_start_capacity(age, parameters.slow_start_duration, parameters.slow_start_capacity)
 
     def arrive(self, job: Job) -> None:
         """Run, queue or reject a job; one that arrives at a process that is down fails to connect."""
@@ -138,7 +134,7 @@
             self._recent_arrivals.popleft()
         rate_factor = parameters.slow_start_overload * self.capacity()
         allowed = rate_factor * parameters.slow_start_window * parameters.cores / self._mean_work
-        return len(self._recent_arrivals) > allowed + 2 * math.sqrt(allowed) + 2
+        return len(self._recent_arrivals) > tolerated_arrivals(allowed)
 
     def _accept(self, job: Job) -> None:
         if self._running_count < self._parameters.cores:
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -2,6 +2,10 @@
 
 Nothing is real but the engines: clients, network and servers are drawn from one seeded generator, so that a
 run is the same each time. Times are milliseconds.
+
+The virtual clock and the arithmetic of slow start are those of `scale.hollow`. The models of clients, network
+and gossip are simpler than there on purpose: delays are constant and nothing is lost, so that the load on a
+server in slow start is due to the limiters' decisions alone. See `simulated_server` for how servers differ.
 """
 
 from __future__ import annotations
@@ -23,14 +27,14 @@
 )
 from limiter.model.settings import Idempotency, QuotaPlan, RequestClass, Settings
 from limiter.policy.engine import PolicyEngine
-from tests.support.event_queue import EventQueue
+from scale.hollow.clock import VirtualClock
 from tests.support.simulated_server import (
-    COLD_CAPACITY,
     CORES,
     MEAN_WORK_MS,
     OVERLOAD_FACTOR,
+    SLOW_START_CAPACITY,
+    SLOW_START_MS,
     STEP_MS,
-    WARM_UP_MS,
     WINDOW_MS,
     Arrival,
     Attempt,
@@ -38,94 +42,79 @@
 )
 
 START_MS = 1000.0
-NETWORK_DELAY_MS = 1.0  # from a limiter to a server; results come back at once
+# Time from a limiter to a server; results come back at once.
+NETWORK_DELAY_MS = 1.0
 GOSSIP_DELAY_MS = 5.0
-PATIENCE_MS = 3000.0  # of a client
+# Time after which a client gives up.
+CLIENT_TIMEOUT_MS = 3000.0
 CUSTOMERS = 200
-RETRY_SHARE = 0.5  # of the rejected requests that their clients repeat, once
+# Share of the rejected first requests that their clients send again.
+RETRY_SHARE = 0.5
 RETRY_DELAY_MS = (50, 400)
 REQUEST_CLASSES = (
-    RequestClass(1200.0, PATIENCE_MS, late_weight=0.2),
-    RequestClass(1000.0, PATIENCE_MS, Idempotency.NOT_IDEMPOTENT),
+    RequestClass(1200.0, CLIENT_TIMEOUT_MS, late_weight=0.2),
+    RequestClass(1000.0, CLIENT_TIMEOUT_MS, Idempotency.NOT_IDEMPOTENT),
 )
 
 
 @dataclass(frozen=True, slots=True)
 class LoadBurst:
-    """A time in which clients send `factor` times the requests."""
+    """A time in which clients send `factor` times the requests; `start` and `end` in ms."""
 
     start: float
     end: float
     factor: float
 
 
-@dataclass(frozen=True, slots=True)
-class Delivery:
-    """An event reaches a limiter."""
-
-    limiter: int
-    event: Event
-
-
-@dataclass(frozen=True, slots=True)
-class NewRequest:
-    """A client sends a request; the next follows by a Poisson process."""
-
-
-@dataclass(frozen=True, slots=True)
-class RepeatedRequest:
-    """A client repeats a request that was rejected."""
-
-
-@dataclass(frozen=True, slots=True)
-class AttemptArrives:
-    """An attempt reaches its server."""
-
-    attempt: Attempt
-
-
-@dataclass(frozen=True, slots=True)
-class AttemptTimesOut:
-    """A limiter gives an attempt up, if it has not ended."""
-
-    attempt: Attempt
-
-
-SimulationEvent = Delivery | NewRequest | RepeatedRequest | AttemptArrives | AttemptTimesOut
-
-
 class SimulatedFleet:
     """Limiters, servers and clients; the test lets time pass, crashes servers and adds them again."""
 
     def __init__(self, limiters: int, servers: int, load: float, seed: int, burst: LoadBurst) -> None:
-        """Start with warm servers, known to all; `load` is a share of all servers' capacity."""
-        self.now = START_MS
+        """Start with servers past their slow start, known to all limiters.
+
+        Args:
+            limiters: number of limiters.
+            servers: number of servers.
+            load: rate of first requests, as a share of all servers' capacity.
+            seed: of everything that is drawn.
+            burst: time of a higher rate.
+        """
         self.servers: dict[bytes, SimulatedServer] = {}
-        self.announcement_delays: dict[int, float] = {}  # of limiters that learn of changes late, in ms
-        self.served = self.rejected = self.failed = self.new_requests = 0
+        # Time, in ms, by which limiters learn late of a changed list of servers; by number of the limiter.
+        self.announcement_delays: dict[int, float] = {}
+        self.served = 0
+        self.rejected = 0
+        self.failed = 0
+        self.new_requests = 0
         self._rng = Random(seed)
-        self._queue: EventQueue[SimulationEvent] = EventQueue()
-        self._capacity_per_ms = servers * CORES / MEAN_WORK_MS  # in requests
+        self._clock = VirtualClock(START_MS)
+        self._capacity_per_ms = servers * CORES / MEAN_WORK_MS  # requests a ms
         self._load = load
         self._burst = burst
         self._engines = [
             PolicyEngine(_limiter_settings(limiter, limiters), self._rng.getrandbits(32))
             for limiter in range(limiters)
         ]
-        self._known_starts: list[dict[bytes, float]] = [{} for _ in self._engines]  # by endpoint id
+        # For each limiter, the starts of servers that it knows, by endpoint id.
+        self._known_starts: list[dict[bytes, float]] = [{} for _ in self._engines]
         self._open: dict[int, ClientRequest] = {}
         self._last_request_id = 0
-        self._attempts_made: dict[int, int] = {}  # by request
-        self._in_flight: set[Attempt] = set()  # that arrived and have not ended
+        self._attempts_made: dict[int, int] = {}  # number of attempts by request id
+        self._in_flight: set[Attempt] = set()  # attempts that have reached their server and have not ended
         # Some limiters get several times the mean share of the requests.
         self._weights = [self._rng.lognormvariate(0.0, 0.8) for _ in self._engines]
         for number in range(servers):
             self.add_server(number, started_at=0.0)
         self.announce_servers()
-        self._queue.push(self.now, NewRequest())
+        self._clock.call_at(self.now, self._send_new_request)
+
+    @property
+    def now(self) -> float:
+        """Present time, in ms."""
+        return self._clock.now
 
     def add_server(self, number: int, started_at: float) -> SimulatedServer:
-        """Start a server, in the place of the one with the same number; 0 makes it a warm one."""
+        """Start a server in place of the one with that number; if it started at 0, its slow start is over."""
         capacity = CORES * self._rng.uniform(0.9, 1.1)
         info = Endpoint(_endpoint_id(number), EndpointState.READY, started_at=started_at)
         server = SimulatedServer(info, capacity)
@@ -133,45 +122,37 @@
         return server
 
     def crash_server(self, number: int) -> None:
-        """Let a server go down: the attempts in hand are reset."""
+        """Let a server go down: the attempts in flight at it are reset."""
         for attempt in self.servers[_endpoint_id(number)].crash():
             self._end_attempt(attempt, Outcome.RESET)
 
     def announce_servers(self) -> None:
         """Send the whole endpoint list to all limiters, to those in `announcement_delays` later."""
         ready = tuple(server.info for server in self.servers.values() if not server.is_down)
+        change = EndpointsChanged(ready, is_full_list=True)
         for limiter in range(len(self._engines)):
             delay = self.announcement_delays.get(limiter, 0.0)
-            self._queue.push(self.now + delay, Delivery(limiter, EndpointsChanged(ready, is_full_list=True)))
+            self._clock.call_at(self.now + delay, self._feed, limiter, change)
 
     def run_until(self, end: float) -> None:
         """Let time pass in whole steps, up to `end`."""
         step_end = self.now + STEP_MS
         while step_end <= end:
-            while self._queue.next_time() <= step_end:
-                self.now, event = self._queue.pop()
-                self._handle(event)
-            self.now = step_end
+            self._clock.run(step_end)
             for server in list(self.servers.values()):
                 for attempt in server.run_step(step_end):
                     self._end_attempt(attempt, Outcome.OK)
             step_end += STEP_MS
 
-    def _handle(self, event: SimulationEvent) -> None:
-        match event:
-            case Delivery(limiter, delivered):
-                self._feed(limiter, delivered)
-            case NewRequest():
-                self.new_requests += 1
-                self._send_request(is_retry=False)
-                self._queue.push(self.now + self._rng.expovariate(self._requests_per_ms()), NewRequest())
-            case RepeatedRequest():
-                self._send_request(is_retry=True)
-            case AttemptArrives(attempt):
-                self._arrive(attempt)
-            case AttemptTimesOut(attempt) if attempt in self._in_flight:
-                self.servers[attempt.endpoint_id].drop(attempt)
-                self._end_attempt(attempt, Outcome.TIMEOUT)
+    def _send_new_request(self) -> None:
+        """Send a first request of some client; the next follows by a Poisson process."""
+        self.new_requests += 1
+        self._send_request(is_retry=False)
+        next_at = self.now + self._rng.expovariate(self._requests_per_ms())
+        self._clock.call_at(next_at, self._send_new_request)
+
+    def _send_retry(self) -> None:
+        self._send_request(is_retry=True)
 
     def _requests_per_ms(self) -> float:
         in_burst = self._burst.start <= self.now < self._burst.end
@@ -189,7 +170,7 @@
             units=1.0,
             limiter_set_size=float(limiters),
             limiter_set_start=0.0,
-            expires_at=self.now + PATIENCE_MS,
+            expires_at=self.now + CLIENT_TIMEOUT_MS,
             is_retry=is_retry,
         )
         self._open[request.id] = request
@@ -207,6 +188,12 @@
         if not server.accept(attempt, work_ms):
             self._end_attempt(attempt, Outcome.REJECTED)
 
+    def _time_out(self, attempt: Attempt) -> None:
+        """Give an attempt up, unless it has ended."""
+        if attempt in self._in_flight:
+            self.servers[attempt.endpoint_id].drop(attempt)
+            self._end_attempt(attempt, Outcome.TIMEOUT)
+
     def _end_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt not in self._in_flight:
             return
@@ -236,8 +223,8 @@
                 number = self._attempts_made.get(request_id, 0)
                 self._attempts_made[request_id] = number + 1
                 attempt = Attempt(limiter, request_id, number, endpoint_id, self.now)
-                self._queue.push(self.now + NETWORK_DELAY_MS, AttemptArrives(attempt))
-                self._queue.push(self.now + timeout, AttemptTimesOut(attempt))
+                self._clock.call_at(self.now + NETWORK_DELAY_MS, self._arrive, attempt)
+                self._clock.call_at(self.now + timeout, self._time_out, attempt)
             case RejectRequest(request_id):
                 self.rejected += 1
                 self._maybe_repeat(self._open.pop(request_id))
@@ -245,7 +232,7 @@
                 self.failed += 1
                 self._open.pop(request_id)
             case SetTimer(delay, token):
-                self._queue.push(self.now + delay, Delivery(limiter, TimerFired(token)))
+                self._clock.call_at(self.now + delay, self._feed, limiter, TimerFired(token))
             case BroadcastGossip(body):
                 self._broadcast(GossipReceived(limiter, body))
             case _:
@@ -253,12 +240,13 @@
 
     def _maybe_repeat(self, request: ClientRequest) -> None:
         if self._rng.random() < RETRY_SHARE and not request.is_retry:
-            self._queue.push(self.now + self._rng.uniform(*RETRY_DELAY_MS), RepeatedRequest())
+            delay = self._rng.uniform(*RETRY_DELAY_MS)
+            self._clock.call_at(self.now + delay, self._send_retry)
 
     def _broadcast(self, message: GossipReceived) -> None:
         for receiver in range(len(self._engines)):
             if receiver != message.sender:
-                self._queue.push(self.now + GOSSIP_DELAY_MS, Delivery(receiver, message))
+                self._clock.call_at(self.now + GOSSIP_DELAY_MS, self._feed, receiver, message)
 
 
 def _endpoint_id(number: int) -> bytes:
@@ -275,8 +263,8 @@
         may_cancel=True,
         may_gossip=True,
         gossip_intake_per_second=40.0,
-        slow_start_capacity=COLD_CAPACITY,
-        slow_start_duration=WARM_UP_MS,
+        slow_start_capacity=SLOW_START_CAPACITY,
+        slow_start_duration=SLOW_START_MS,
         slow_start_overload=OVERLOAD_FACTOR,
         slow_start_window=WINDOW_MS,
     )
