--- a/scale/process/module.py
+++ b/scale/process/engine_sweep.py
@@ -1,7 +1,8 @@
-"""Experiments of the kind `module`: what the decision module's events cost by themselves, and its memory.
+"""Experiments of the kind `module`: processor time of the policy engine's events, and its memory.
 
-Each size has a fresh interpreter, so that nothing of the one before is counted. Times are processor time of
-the thread in microseconds, as the median and the 99th percentile; garbage collection falls on whom it meets.
+Each size has a fresh interpreter, so that nothing of the size before is counted. Times are processor time of
+the thread in microseconds, as the median and the 99th percentile. A garbage collection counts in the event
+during which it happens.
 """
 
 from __future__ import annotations
@@ -15,11 +16,12 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
 from random import Random
-from typing import Any
+from typing import TypedDict
 
 from limiter.model.events import Endpoint, EndpointsChanged, EndpointState
 from limiter.policy.usage_gossip import INTAKE_SHARE
-from scale.experiment import Progress, Record
+from scale.experiment import Progress, Record, ResultLine
+from scale.process.engine_benchmark import LATENCY_MS, EngineBenchmark
 from scale.process.fleet import (
     CUSTOMER_IDS,
     GOSSIP_INTAKE_PER_S,
@@ -28,17 +30,18 @@
     gossip_message,
 )
 from scale.process.limiter_process import status_mb
-from scale.process.module_bench import LATENCY_MS, ModuleBench
-from scale.process.plan import ModuleExperiment
+from scale.process.plan import PolicyEngineExperiment
 from scale.process.slopes import fit_slopes
 
 CHANGE_INTERVAL_MS = 1.0
 FIRST_GOSSIP_INTERVAL_MS = 2.0
-# All customers send their requests within this time, so that none is forgotten before the last has.
+# All customers send their requests within this time, so that the engine does not forget the first customers
+# before the last ones have sent theirs.
 ALL_REQUESTS_MS = 50_000.0
-GOSSIP_INTERVAL_MS = 1000.0 / (INTAKE_SHARE * GOSSIP_INTAKE_PER_S)  # between two messages of any peers
-# So many requests, by the number of attempts to keep in flight, are tried: some are rejected.
-MAX_IN_FLIGHT_TRIES = 4
+# Interval between two messages that the engine receives, from whichever peers.
+GOSSIP_INTERVAL_MS = 1000.0 / (INTAKE_SHARE * GOSSIP_INTAKE_PER_S)
+# Requests to send for each attempt that is to stay in flight, at most, as some requests are rejected.
+MAX_REQUESTS_PER_IN_FLIGHT = 4
 
 TIMED_EVENTS = ("round_idle", "round", "change", "message", "request", "ended")
 SLOPE_FIGURES = (
@@ -51,6 +54,19 @@
 )
 
 
+class MemoryAndCounts(TypedDict):
+    """Memory of the policy engine in MB of 10**6 bytes, and what it took in."""
+
+    servers_mb: float  # growth by the list of servers
+    heard_mb: float  # growth by gossip on all customers
+    asked_mb: float  # growth by a request of each customer
+    resident_mb: float
+    peak_mb: float
+    refused: int  # requests
+    attempts_out: int  # attempts in flight in the last rounds
+    senders_heard: int  # limiters whose gossip was taken in
+
+
 @dataclass(frozen=True, slots=True)
 class Size:
     """One size of a sweep."""
@@ -60,9 +76,9 @@
     customers: int
 
 
-def run(experiment: ModuleExperiment, record: Record, progress: Progress) -> None:
-    """Play all sizes; a record for each, then the slopes over what was swept."""
-    lines = []
+def run(experiment: PolicyEngineExperiment, record: Record, progress: Progress) -> None:
+    """Run all sizes; record a line for each, then the slopes over what was swept."""
+    lines: list[ResultLine] = []
     spawn = multiprocessing.get_context("spawn")
     for sizes in itertools.product(experiment.servers, experiment.limiters, experiment.customers):
         size = Size(*sizes)
@@ -76,9 +92,9 @@
             record(slope)
 
 
-def measure(experiment: ModuleExperiment, size: Size) -> dict[str, Any]:
-    """Measure one size, in an interpreter of its own; the result line."""
-    figures = {
+def measure(experiment: PolicyEngineExperiment, size: Size) -> ResultLine:
+    """Measure one size, in an interpreter of its own; return its result line."""
+    figures: ResultLine = {
         "kind": "module",
         "line": "size",
         "servers": size.servers,
@@ -91,19 +107,19 @@
 
 
 class SizeRun:
-    """One size: list, rounds, changes, gossip on each customer, a request of each, and rounds again."""
+    """One size: the list, rounds, changes, gossip on each customer, a request of each, and rounds again."""
 
-    def __init__(self, experiment: ModuleExperiment, size: Size) -> None:
-        """Make the module."""
+    def __init__(self, experiment: PolicyEngineExperiment, size: Size) -> None:
+        """Make the policy engine, with nothing listed yet."""
         self._experiment = experiment
         self._size = size
         self._rng = Random(f"{experiment.seed} {size.servers} {size.limiters} {size.customers}")
-        self._bench = ModuleBench(experiment.seed, size.limiters)
+        self._bench = EngineBenchmark(experiment.seed, size.limiters)
         self._senders = itertools.cycle(range(1, size.limiters))
         self._population: list[int] = []
 
-    def play(self) -> dict[str, Any]:
-        """Play it once; memory, counts, and what each kind of event took."""
+    def play(self) -> ResultLine:
+        """Play the size once; return memory, counts, and the time of each kind of event."""
         empty_mb = _resident_mb()
         self._list_servers()
         with_servers_mb = _resident_mb()
@@ -117,7 +133,7 @@
         after_requests_mb = _resident_mb()
         in_flight = self._fill_in_flight()
         self._play_rounds("round")
-        return {
+        figures: MemoryAndCounts = {
             "servers_mb": with_servers_mb - empty_mb,
             "heard_mb": after_gossip_mb - before_gossip_mb,
             "asked_mb": after_requests_mb - after_gossip_mb,
@@ -126,8 +142,8 @@
             "refused": rejected,
             "attempts_out": in_flight,
             "senders_heard": len(self._bench.gossip_senders),
-            **self._event_figures(),
         }
+        return {**figures, **self._event_figures()}
 
     def _list_servers(self) -> None:
         restarted = round(self._experiment.restarted * self._size.servers)
@@ -147,7 +163,7 @@
             self._bench.feed("change", EndpointsChanged((endpoint,), is_full_list=False))
 
     def _receive_gossip_of_all(self) -> None:
-        """Messages that report on each customer, and one of each other limiter at least."""
+        """Hand over messages that report on each customer, at least one of each other limiter."""
         entries = self._experiment.entries
         messages = max(math.ceil(self._size.customers / entries), self._size.limiters - 1)
         for index in range(messages):
@@ -157,7 +173,7 @@
             self._bench.receive_gossip(next(self._senders), body)
 
     def _request_of_each(self) -> int:
-        """A request of each customer, served at once, with gossip all the while; how many were rejected."""
+        """Send a request of each customer, with gossip meanwhile; return how many were rejected."""
         bench = self._bench
         rejected = 0
         interval = min(LATENCY_MS, ALL_REQUESTS_MS / self._size.customers)
@@ -179,18 +195,19 @@
         self._bench.receive_gossip(next(self._senders), body)
 
     def _fill_in_flight(self) -> int:
-        """Requests until as many attempts as wanted stay in flight; how many do."""
+        """Send requests until as many attempts as wanted stay in flight; return how many do."""
         wanted = self._experiment.in_flight
         first_number = self._size.customers
         in_flight = 0
-        for number in range(first_number, first_number + MAX_IN_FLIGHT_TRIES * wanted):
+        for number in range(first_number, first_number + MAX_REQUESTS_PER_IN_FLIGHT * wanted):
             in_flight += len(self._bench.request(number, self._population[number % self._size.customers]))
             if in_flight >= wanted:
                 break
         return in_flight
 
-    def _event_figures(self) -> dict[str, Any]:
-        figures: dict[str, Any] = {}
+    def _event_figures(self) -> dict[str, float]:
+        """Number, median and 99th percentile, in microseconds, of each of EVENT_NAMES."""
+        figures: dict[str, float] = {}
         for name, processor_ns in self._bench.processor_ns.items():
             figures[f"{name}_n"] = processor_ns.get_total_count()
             figures[f"{name}_us"] = processor_ns.get_value_at_percentile(50.0) / 1000
@@ -205,7 +222,7 @@
 
 
 def _changes(servers: int, count: int, started_at: float) -> Iterator[Endpoint]:
-    """Entries as they change: in turn one joins, the oldest drains, and leaves."""
+    """Changed entries: in turn a server joins, the oldest one drains, and it leaves."""
     for index in range(count):
         oldest, step = divmod(index, 3)
         if step == 0:
@@ -215,6 +232,6 @@
 
 
 def _resident_mb() -> float:
-    """MB that are resident now, after a collection."""
+    """Resident memory after a garbage collection, in MB of 10**6 bytes."""
     gc.collect()
     return status_mb(os.getpid(), "VmRSS")
