--- a/tests/policy/test_usage_sampling.py
+++ b/tests/policy/test_usage_sampling.py
@@ -51,6 +51,40 @@
     assert driver.customer_record().usage.tokens < 5.0
 
 
+@pytest.mark.parametrize(
+    ("epoch_age_ms", "used_by_others", "tokens_left"),
+    [
+        pytest.param(5000.0, 0.0, 19.0, id="nobody else used any: the burst less the own unit"),
+        pytest.param(5000.0, 10.0, 16.0, id="steady use of a fifth of the quota leaves four fifths"),
+        pytest.param(5000.0, 30.0, 8.0, id="steady use of three fifths of the quota leaves two"),
+        pytest.param(1000.0, 12.0, 8.0, id="use above the rate at first drained the bucket"),
+        pytest.param(1000.0, 25.0, 0.0, id="use beyond the burst left nothing"),
+    ],
+)
+def test_the_first_total_of_an_epoch_tells_steady_use_from_a_drained_bucket(
+    driver: PolicyDriver, epoch_age_ms: float, used_by_others: float, tokens_left: float
+) -> None:
+    """The quota is 10 units a second and 20 at once; the limiter itself forwarded one unit."""
+    driver.now = epoch_age_ms
+    driver.request(1)
+    driver.answer_counter(Outcome.OK, 1.0 + used_by_others)
+    assert driver.customer_record().usage.tokens == pytest.approx(tokens_left)
+
+
+@pytest.mark.parametrize(
+    ("used_by_others", "remote_rate"),
+    [pytest.param(20.0, 0.004, id="as measured"), pytest.param(80.0, 0.01, id="the quota's rate at most")],
+)
+def test_the_first_total_of_an_epoch_tells_the_rate_of_the_others(
+    driver: PolicyDriver, used_by_others: float, remote_rate: float
+) -> None:
+    """Units a millisecond, over 5 s, of a quota of 10 units a second."""
+    driver.now = 5000.0
+    driver.request(1)
+    driver.answer_counter(Outcome.OK, 1.0 + used_by_others)
+    assert driver.customer_record().usage.remote_rate == pytest.approx(remote_rate)
+
+
 def test_a_counter_call_stands_for_those_left_out_by_chance(wide_driver: PolicyDriver) -> None:
     """With half of the calls made, each reports twice the units."""
     wide_driver.engine.sampler.call_probability = 0.5
