--- a/tests/transport/test_counter_client.py
+++ b/tests/transport/test_counter_client.py
@@ -96,9 +96,9 @@
     await send_requests_until(harness, lambda: harness.counter.connections >= 2)
 
 
-def test_only_busy_and_err_say_that_nothing_was_added() -> None:
+async def test_only_busy_and_err_say_that_nothing_was_added() -> None:
     replies = [b"-BUSY\r\n", b"-ERR no such call\r\n", b"-BUSYBODY\r\n", b"-\xff\r\n", b"$2\r\n12\r\n"]
-    assert asyncio.run(call_counter(replies)) == [
+    assert await call_counter(replies) == [
         Outcome.REJECTED,
         Outcome.REJECTED,
         Outcome.TIMEOUT,
@@ -107,13 +107,13 @@
     ]
 
 
-def test_after_an_invalid_reply_the_next_connection_is_opened_at_once(
+async def test_after_an_invalid_reply_the_next_connection_is_opened_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # With these the test would time out if the client backed off.
     monkeypatch.setattr(counter_client_module, "FIRST_BACKOFF_SECONDS", 1000.0)
     monkeypatch.setattr(counter_client_module, "MAX_BACKOFF_SECONDS", 1000.0)
-    outcomes = asyncio.run(call_counter([b"$2\r\n12\r\n", b"$2\r\n0x\r\n"] * 4))
+    outcomes = await call_counter([b"$2\r\n12\r\n", b"$2\r\n0x\r\n"] * 4)
     assert outcomes == [Outcome.OK, Outcome.TIMEOUT] * 4
 
 
