--- a/tests/support/client.py
+++ b/tests/support/client.py
@@ -16,15 +16,26 @@
 
 @dataclass(frozen=True)
 class Response:
-    """A response as a client got it."""
+    """A response as a client received it.
+
+    Attributes:
+        status: the status code.
+        headers: header values under their names in lower case.
+        body: the body without its framing.
+    """
 
     status: int
-    headers: dict[str, str]  # names in lower case
+    headers: dict[str, str]
     body: bytes
 
 
 class Connection:
-    """A client's connection to the limiter."""
+    """A client's connection to the limiter.
+
+    Attributes:
+        reader: the stream from the limiter.
+        writer: the stream to the limiter.
+    """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Take the two streams of an open connection."""
@@ -32,14 +43,14 @@
         self.writer = writer
 
     def send(self, data: bytes) -> None:
-        """Send these bytes."""
+        """Send these bytes to the limiter."""
         self.writer.write(data)
 
     async def response(self) -> Response:
         """Return the next response.
 
         Raises:
-            asyncio.IncompleteReadError: the limiter closed the connection before its end.
+            asyncio.IncompleteReadError: the limiter closed the connection before the response's end.
         """
         async with asyncio.timeout(PATIENCE_SECONDS):
             status_line, headers = parse_head(await self.reader.readuntil(b"\r\n\r\n"))
@@ -47,25 +58,35 @@
         return Response(int(status_line.split()[1]), headers, body)
 
     async def read_until_closed(self) -> bytes:
-        """Return what still comes until the limiter closes the connection."""
+        """Return all further bytes until the limiter closes the connection."""
         async with asyncio.timeout(PATIENCE_SECONDS):
             return await self.reader.read()
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection towards the limiter."""
         self.writer.close()
 
 
 class RequestOptions(TypedDict, total=False):
-    """What a test may choose of a request beyond its class."""
+    """What a test may choose of a request beyond its class.
+
+    Attributes:
+        request_id: the client's id of the request; REQUEST_ID if not given.
+        deadline_ms: time after which the client gives up; 3000 if not given.
+        body: the body of a POST; empty if not given.
+        query: appended to the path, with its question mark.
+        customer: identifier in the path; CUSTOMER if not given.
+        headers: headers that replace or extend those of the protocol.
+        without_header: name of a header to leave out.
+    """
 
     request_id: str
-    deadline_ms: int  # after which the client gives up; 3000 if not given
-    body: bytes  # of a POST
-    query: str  # appended to the path, with its question mark
-    customer: str  # identifier in the path; CUSTOMER if not given
-    headers: dict[str, str]  # these replace or extend the protocol's own
-    without_header: str  # name of a header to leave out
+    deadline_ms: int
+    body: bytes
+    query: str
+    customer: str
+    headers: dict[str, str]
+    without_header: str
 
 
 def http_request(request_class: str = "read", **options: Unpack[RequestOptions]) -> bytes:
--- a/tests/support/event_queue.py
+++ b/tests/support/event_queue.py
@@ -13,17 +13,17 @@
     """Events by time; those of the same time in the order in which they were pushed."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Make a queue without events."""
         self._heap: list[tuple[float, int, EventT]] = []
         self._pushed = 0
 
     def push(self, when: float, event: EventT) -> None:
-        """Add an event."""
+        """Add an event that is due at this time."""
         self._pushed += 1
         heappush(self._heap, (when, self._pushed, event))
 
     def next_time(self) -> float:
-        """The time of the earliest event; infinity if there is none."""
+        """Return the time of the earliest event, infinity if there is none."""
         return self._heap[0][0] if self._heap else math.inf
 
     def pop(self) -> tuple[float, EventT]:
--- a/tests/support/fake_counter.py
+++ b/tests/support/fake_counter.py
@@ -8,47 +8,45 @@
 
 from tests.support.fake_peer import FakePeer
 
+_READ_BYTES = 65536
+
 
 class FakeCounter(FakePeer):
-    """Keeps a total for each name.
+    """Keeps a total for each key.
 
     Attributes:
-        totals: the totals by name.
+        totals: the totals by key.
         calls: the arguments of each call so far.
-        delay: seconds before each answer.
-        text: sent in place of a total, where set.
-        once: whether the text is sent a single time only.
+        delay_seconds: time from a call to its reply.
+        reply_override: bytes that are sent in place of each total; None for the totals themselves.
     """
 
     def __init__(self) -> None:
-        """Make a counter without totals."""
+        """Make a counter without totals, which does not listen yet."""
         super().__init__()
         self.totals: dict[bytes, float] = {}
         self.calls: list[list[bytes]] = []
-        self.delay = 0.0
-        self.text: bytes | None = None
-        self.once = False
+        self.delay_seconds = 0.0
+        self.reply_override: bytes | None = None
 
     async def serve(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _connection: int
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _connection_number: int
     ) -> None:
-        """Answer the calls of the connection in their order."""
+        """Reply to the calls of the connection in their order."""
         parser = hiredis.Reader()
-        while data := await reader.read(65536):
+        while data := await reader.read(_READ_BYTES):
             parser.feed(data)
             while (call := parser.gets()) is not False:
-                await self._answer(call, writer)
+                await self._reply(call, writer)
 
-    async def _answer(self, call: list[bytes], writer: asyncio.StreamWriter) -> None:
+    async def _reply(self, call: list[bytes], writer: asyncio.StreamWriter) -> None:
         self.calls.append(call)
-        if self.delay:
-            await asyncio.sleep(self.delay)
+        if self.delay_seconds:
+            await asyncio.sleep(self.delay_seconds)
         if call[0] == b"PING":
             writer.write(b"+PONG\r\n")
             return
-        _command, name, amount, *_time_to_live = call
-        self.totals[name] = self.totals.get(name, 0.0) + float(amount)
-        total = b"%g" % self.totals[name]
-        writer.write(self.text or b"$%d\r\n%b\r\n" % (len(total), total))
-        if self.once:
-            self.text = None
+        _command, key, amount, *_time_to_live = call
+        self.totals[key] = self.totals.get(key, 0.0) + float(amount)
+        total = b"%g" % self.totals[key]
+        writer.write(self.reply_override or b"$%d\r\n%b\r\n" % (len(total), total))
--- a/tests/support/fake_peer.py
+++ b/tests/support/fake_peer.py
@@ -1,4 +1,4 @@
-"""Base of what a limiter under test talks to: a listener on loopback, served by the test's event loop."""
+"""Base of the fakes that a limiter under test connects to, which the test's event loop serves on loopback."""
 
 from __future__ import annotations
 
@@ -10,28 +10,30 @@
     """Listens on loopback and counts its connections.
 
     Attributes:
-        port: 0 until it listens, then its port; one that is set before is taken.
-        connections: connections accepted so far.
-        closed: those of them that are over.
+        port: the port that it listens on; 0 before `listen` lets the system choose one.
+        accepted_connections: number of connections that were accepted so far.
+        closed_connections: number of those that have ended.
+        writers: the streams to the limiter, one for each connection that was accepted since `listen`.
+        server: the listening server, from `listen` on.
     """
 
     def __init__(self) -> None:
         """Make a peer that does not listen yet."""
         self.port = 0
-        self.connections = 0
-        self.closed = 0
+        self.accepted_connections = 0
+        self.closed_connections = 0
         self.writers: list[asyncio.StreamWriter] = []
         self.server: asyncio.Server
 
     async def listen(self) -> None:
-        """Start to accept connections."""
+        """Start to accept connections, on the port that was set before or on a free one."""
         self.writers = []
         self.server = await asyncio.start_server(self._connected, "127.0.0.1", self.port)
         self.port = self.server.sockets[0].getsockname()[1]
 
     @property
     def address(self) -> str:
-        """`host:port`, as configurations and endpoint lists have it."""
+        """The address in the form of configurations and endpoint lists, `host:port`."""
         return f"127.0.0.1:{self.port}"
 
     def reset_connections(self) -> None:
@@ -40,15 +42,21 @@
             writer.transport.abort()
 
     async def serve(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection: int
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection_number: int
     ) -> None:
-        """Serve one connection until the other side closes it; `connection` counts from 1."""
+        """Serve one connection until the limiter closes it.
+
+        Args:
+            reader: the stream from the limiter.
+            writer: the stream to the limiter.
+            connection_number: number of the connection, the first one's is 1.
+        """
         raise NotImplementedError
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
+        self.accepted_connections += 1
         self.writers.append(writer)
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            await self.serve(reader, writer, self.connections)
-        self.closed += 1
+            await self.serve(reader, writer, self.accepted_connections)
+        self.closed_connections += 1
         writer.close()
--- a/tests/support/fake_server.py
+++ b/tests/support/fake_server.py
@@ -1,11 +1,11 @@
-"""Fake servers: they record the requests that the limiter forwards, and answer as the test says."""
+"""Fake servers: they record the requests that the limiter forwards, and respond as the test says."""
 
 from __future__ import annotations
 
 import asyncio
 import re
 import socket
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Iterable
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -14,76 +14,138 @@
 from tests.support.http_message import parse_head
 from tests.support.waiting import PATIENCE_SECONDS, wait_until
 
-_TCP_SYN_SENT = "02"  # state of a connection in /proc/net/tcp
+_TCP_SYN_SENT = "02"  # The state of an unestablished connection in /proc/net/tcp.
 
 
 @dataclass(frozen=True)
 class ReceivedRequest:
-    """A request as a server got it."""
+    """A request as a server received it.
+
+    Attributes:
+        line: the request line.
+        headers: header values under their names in lower case.
+        body: the body without its framing.
+        connection_number: number of the server's connection that it came on, the first one's is 1.
+    """
 
     line: str
-    headers: dict[str, str]  # names in lower case
+    headers: dict[str, str]
     body: bytes
-    connection: int  # number of the server's connection that it came on, from 1
+    connection_number: int
 
 
-Answer = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
+Responder = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
+"""Writes a response to a request, or does without."""
 
 
-def respond_with(status: int, body: bytes = b"", *headers: str) -> Answer:
-    """Return an answer with this status, body and further header lines."""
+def respond_with(status: int, body: bytes = b"", *headers: str) -> Responder:
+    """Return a responder that responds with this status, body and further header lines."""
 
-    async def answer(_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def respond(_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers, "", ""]
         writer.write("\r\n".join(lines).encode() + body)
 
-    return answer
+    return respond
 
 
-def respond_raw(data: bytes) -> Answer:
-    """Return an answer of exactly these bytes."""
+def respond_raw(data: bytes) -> Responder:
+    """Return a responder that writes exactly these bytes."""
 
-    async def answer(_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def respond(_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
 
-    return answer
+    return respond
+
+
+def respond_after(event: asyncio.Event, responder: Responder) -> Responder:
+    """Return a responder that waits for the event before it responds."""
+
+    async def respond(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        await event.wait()
+        await responder(request, writer)
 
+    return respond
 
-async def never_answer(_request: ReceivedRequest, _writer: asyncio.StreamWriter) -> None:
-    """Answer nothing while the test runs."""
+
+async def never_respond(_request: ReceivedRequest, _writer: asyncio.StreamWriter) -> None:
+    """Send no response while the test runs."""
     await asyncio.sleep(PATIENCE_SECONDS)
 
 
 async def reset_connection(_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    """Reset the connection in place of an answer."""
+    """Reset the connection in place of a response."""
     writer.transport.abort()
 
 
+class HeldResponses:
+    """A responder that holds all responses back until the test releases them.
+
+    Attributes:
+        writers: the streams to the limiter, one for each response that is held.
+    """
+
+    def __init__(self) -> None:
+        """Hold the responses to all requests from now on."""
+        self.writers: list[asyncio.StreamWriter] = []
+
+    async def __call__(self, _request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        """Hold the response to one request."""
+        self.writers.append(writer)
+
+    def release(self, status: int = 200) -> None:
+        """Write all held responses, with this status; they are in the limiter's kernel on return."""
+        for writer in self.writers:
+            writer.write(b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n" % status)
+        self.writers.clear()
+
+
+def request_ids(received: Iterable[ReceivedRequest]) -> list[str]:
+    """Return the clients' ids of requests as servers received them."""
+    return [request.headers["x-request-id"] for request in received]
+
+
 class FakeServer(FakePeer):
-    """A server that records what it receives and answers with `answer`, by default 200 and its name."""
+    """A server of the shared API.
+
+    Attributes:
+        key: its name in endpoint lists.
+        zone: the zone that it is listed in.
+        received: the requests that it received so far.
+        responder: writes its responses; by default status 200 with the server's name.
+    """
 
     def __init__(self, key: str, zone: str = "a") -> None:
-        """Make a server with this name, in this zone."""
+        """Make a server that does not listen yet.
+
+        Args:
+            key: its name in endpoint lists.
+            zone: the zone that it is listed in.
+        """
         super().__init__()
         self.key = key
         self.zone = zone
         self.received: list[ReceivedRequest] = []
-        self.answer: Answer = respond_with(200, f"from {key}".encode())
+        self.responder: Responder = respond_with(200, f"from {key}".encode())
 
     async def serve(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection: int
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection_number: int
     ) -> None:
-        """Record each request of the connection and answer it."""
+        """Record each request of the connection and respond to it."""
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             length = re.search(rb"(?i)content-length: (\d+)", head)
             body = await reader.readexactly(int(length[1])) if length else b""
-            request = ReceivedRequest(*parse_head(head), body, connection)
+            request = ReceivedRequest(*parse_head(head), body, connection_number)
             self.received.append(request)
-            await self.answer(request, writer)
+            await self.responder(request, writer)
 
     def list_entry(self, state: str = "active", **changes: Any) -> dict[str, Any]:
-        """Return this server's entry of discovery's list."""
+        """Return this server's entry of an endpoint list.
+
+        Args:
+            state: its lifecycle state.
+            changes: values that replace those of a server that started long ago.
+        """
         entry = {
             "instanceId": self.key,
             "hostPort": self.address,
@@ -98,10 +160,10 @@
 
 
 class SlowAcceptServer(FakeServer):
-    """A server that completes no connection until it is opened: its backlog is full until then."""
+    """A server that completes no connection until `open`, because its listen backlog is full until then."""
 
     async def listen(self) -> None:
-        """Listen with a backlog of one, and fill that."""
+        """Listen with the shortest backlog, and fill that."""
         self.writers = []
         self.listening = socket.socket()
         self.listening.bind(("127.0.0.1", 0))
@@ -122,4 +184,4 @@
         self.listening.listen(16)
         self.server = await asyncio.start_server(self._connected, sock=self.listening)
         self.filler.close()
-        await wait_until(lambda: not self.pending_connections(), "every dial has come up or is over")
+        await wait_until(lambda: not self.pending_connections(), "every dial has succeeded or ended")
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -1,4 +1,4 @@
-"""A limiter as a process of its own on loopback, between fakes that the test's event loop serves."""
+"""A limiter process on loopback, between fakes that the event loop of the test serves."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 import pytest
 
-from tests.support.client import HEALTH_CHECK, Connection, Response
+from tests.support.client import HEALTH_CHECK, Connection, Response, http_request
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer, ReceivedRequest, SlowAcceptServer
@@ -30,28 +30,52 @@
 
 
 class HarnessOptions(TypedDict, total=False):
-    """What a test may choose of its limiter and the fakes around it."""
+    """What a test may choose of its limiter and the fakes around it.
+
+    Attributes:
+        servers: number of servers that accept connections; 1 if not given.
+        slow_servers: number of further servers, which complete no connection until `open`; 0 if not given.
+        settings: the limiter's settings; those of `settings()` if not given.
+        config_changes: further keys of the configuration.
+        sockets: limit of descriptors, of the configuration and of the process; DEFAULT_SOCKETS if not given.
+        wait_ready: whether to wait until the limiter is healthy; True if not given.
+        entries: discovery's list; the entries of all servers if not given.
+        discovery_responds: whether discovery responds; True if not given.
+    """
 
-    servers: int  # that answer; 1 if not given
-    slow_servers: int  # further servers that complete no connection until they are opened; none if not given
-    settings: dict[str, Any] | None  # settings, else those of `settings()`
-    config_changes: dict[str, Any] | None  # further keys of the configuration
-    sockets: int  # limit of descriptors, of the configuration and of the process
-    wait_ready: bool  # whether to wait until the limiter is healthy; True if not given
-    entries: list[dict[str, Any]] | None  # discovery's list, else all servers
-    discovery_up: bool  # whether discovery answers; True if not given
+    servers: int
+    slow_servers: int
+    settings: dict[str, Any] | None
+    config_changes: dict[str, Any] | None
+    sockets: int
+    wait_ready: bool
+    entries: list[dict[str, Any]] | None
+    discovery_responds: bool
 
 
 class LimiterHarness:
-    """A limiter process, its configuration and log, and the fakes that it talks to."""
+    """A limiter process, its configuration and log, and the fakes that it connects to.
+
+    Attributes:
+        folder: where the configuration file is.
+        slow_servers: servers that complete no connection until they are opened.
+        servers: all servers, the slow ones first.
+        discovery: the discovery agent.
+        counter: the shared counter.
+        process: the limiter process, from `launch` on.
+        log_reader: the task that reads the log, from `launch` on.
+        config: the configuration with which the process was launched.
+        log_lines: the lines that the process has logged so far.
+        port: the port that the limiter listens on; 0 before it listens.
+    """
 
     def __init__(self, folder: Path, servers: int, slow_servers: int = 0) -> None:
         """Make the fakes; the process is launched by `start`.
 
         Args:
             folder: where the configuration is written.
-            servers: how many servers there are that answer.
-            slow_servers: how many there are that complete no connection until they are opened.
+            servers: number of servers that accept connections.
+            slow_servers: number of servers that complete no connection until they are opened.
         """
         self.folder = folder
         self.slow_servers = [SlowAcceptServer(f"late-{index}") for index in range(slow_servers)]
@@ -60,20 +84,26 @@
         self.discovery = FakeDiscovery()
         self.counter = FakeCounter()
         self.process: asyncio.subprocess.Process
-        self.reading: asyncio.Task[None]
+        self.log_reader: asyncio.Task[None]
         self.config: dict[str, Any] = {}
         self.log_lines: list[str] = []
         self.port = 0
 
     @property
     def received(self) -> list[ReceivedRequest]:
-        """All requests that the servers received, server by server."""
+        """All requests that the servers received so far, server by server."""
         return [request for server in self.servers for request in server.received]
 
     async def start(
         self, limiter_settings: dict[str, Any], sockets: int, config_changes: dict[str, Any] | None = None
     ) -> None:
-        """Let the fakes listen, then launch the limiter with these settings."""
+        """Let the fakes listen, then launch the limiter.
+
+        Args:
+            limiter_settings: the settings in its configuration.
+            sockets: limit of descriptors, of the configuration and of the process.
+            config_changes: further keys of the configuration.
+        """
         for peer in (*self.servers, self.discovery, self.counter):
             await peer.listen()
         if not self.discovery.entries:
@@ -92,20 +122,20 @@
         await self.launch(sockets)
 
     async def restart(self, **changes: Any) -> None:
-        """Launch the limiter anew, with changes to its configuration, and wait until it is healthy."""
+        """Launch the limiter again, with changes to its configuration, and wait until it is healthy."""
         self.config |= changes
-        self.reading.cancel()
+        self.log_reader.cancel()
         await self.launch(DEFAULT_SOCKETS)
         await self.wait_ready()
 
     async def launch(self, sockets: int) -> None:
         """Launch the limiter with the present configuration; return once it listens or has exited."""
         self.port = 0
-        # As in service, the environment names the first discovery too.
+        # As in production, the environment names the first discovery agent too.
         self.process = await launch_limiter(
             self.folder, self.config, sockets, RELAY_DISCOVERY=self.discovery.address
         )
-        self.reading = asyncio.create_task(self._read_log())
+        self.log_reader = asyncio.create_task(self._read_log())
         await wait_until(lambda: self.port or self.process.returncode is not None, "listening")
 
     async def wait_ready(self) -> None:
@@ -147,7 +177,7 @@
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     async def stop(self) -> int:
-        """Send SIGTERM and return the exit code."""
+        """Send SIGTERM if the process still runs, and return its exit code."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(PATIENCE_SECONDS):
@@ -158,7 +188,7 @@
         if self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
-        self.reading.cancel()
+        self.log_reader.cancel()
 
 
 async def launch_limiter(
@@ -187,11 +217,14 @@
 
 @contextlib.asynccontextmanager
 async def running_limiter(**options: Unpack[HarnessOptions]) -> AsyncIterator[LimiterHarness]:
-    """Run a limiter between fakes; it has to stop in order, if it stops, and to log no traceback."""
+    """Run a limiter process between fakes.
+
+    After the test, a process that has exited must have logged that it stops, and no traceback may be logged.
+    """
     with tempfile.TemporaryDirectory() as folder:
         harness = LimiterHarness(Path(folder), options.get("servers", 1), options.get("slow_servers", 0))
         harness.discovery.entries = options.get("entries") or []
-        harness.discovery.up = options.get("discovery_up", True)
+        harness.discovery.is_responding = options.get("discovery_responds", True)
         sockets = options.get("sockets", DEFAULT_SOCKETS)
         await harness.start(options.get("settings") or settings(), sockets, options.get("config_changes"))
         try:
@@ -219,6 +252,20 @@
 async def wait_for_version(harness: LimiterHarness, version: int) -> None:
     """Wait until the limiter asks for changes since that version, and so has applied it."""
     await wait_until(
-        lambda: harness.discovery.targets and f"since={version}&" in harness.discovery.targets[-1].target,
+        lambda: harness.discovery.calls and f"since={version}&" in harness.discovery.calls[-1].target,
         f"a call since version {version}",
     )
+
+
+async def wait_for_list_read(harness: LimiterHarness) -> None:
+    """Wait until the limiter asks for what follows discovery's present version."""
+    await wait_for_version(harness, harness.discovery.version)
+
+
+async def response_bodies(harness: LimiterHarness, request_class: str, count: int = 6) -> set[bytes]:
+    """Send requests on connections of their own, and return the distinct bodies of their responses."""
+    bodies = set()
+    for number in range(count):
+        response = await harness.send_request(http_request(request_class, request_id=str(number)))
+        bodies.add(response.body)
+    return bodies
--- a/tests/support/in_process_limiter.py
+++ b/tests/support/in_process_limiter.py
@@ -1,41 +1,29 @@
-"""A limiter in the test's own event loop, clients whose bytes need no turn of it, and scenario helpers."""
+"""A limiter in the event loop of the test, and clients that are independent of the loop's turns."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
-from collections.abc import AsyncIterator, Iterable
+from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
-from typing import Any
 
 from limiter.configuration.config import parse
 from limiter.model.events import Endpoint, EndpointState
 from limiter.transport.clients.listener import Listener
 from limiter.transport.clock import Clock
 from limiter.transport.driver.proxy import Proxy
-from tests.support.client import Connection, Response, http_request
-from tests.support.fake_server import Answer, FakeServer, ReceivedRequest
-from tests.support.harness import LimiterHarness, wait_for_version
-from tests.support.limiter_settings import settings
-
-
-def configuration(**changes: Any) -> dict[str, Any]:
-    """A configuration document; `changes` replace keys of it."""
-    document = {
-        "name": "n0",
-        "listen": "127.0.0.1:0",
-        "discovery": "127.0.0.1:1",
-        "counter": "127.0.0.1:2",
-        "seed": "8c1f",
-        "limits": {"sockets": 256},
-        "settings": settings(),
-    }
-    return {**document, **changes}
+from tests.support.client import Connection, Response
+from tests.support.fake_server import FakeServer
+from tests.support.limiter_settings import configuration
 
 
 @asynccontextmanager
 async def in_process_limiter(*servers: FakeServer) -> AsyncIterator[tuple[Proxy, Listener]]:
-    """A limiter in this loop: it sees nothing that its sockets got until the test awaits."""
+    """Run a limiter in the running event loop; it reads from its sockets only while the test awaits.
+
+    Args:
+        servers: the servers of its endpoint list, which are started here.
+    """
     endpoints = []
     for server in servers:
         await server.listen()
@@ -55,7 +43,11 @@
 
 
 class RawClient:
-    """A client whose bytes are in the limiter's kernel as soon as they are sent, with no turn of the loop."""
+    """A client whose bytes reach the limiter's kernel at once, without a turn of the event loop.
+
+    Attributes:
+        socket: its connected socket, which does not block.
+    """
 
     def __init__(self, listener: Listener) -> None:
         """Connect to the listener."""
@@ -63,7 +55,7 @@
         self.socket.setblocking(False)
 
     def send(self, data: bytes) -> None:
-        """Write to the kernel."""
+        """Send these bytes, which must fit into the buffers of both sockets."""
         self.socket.sendall(data)
 
     async def response(self) -> Response:
@@ -84,50 +76,3 @@
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         return await reading
-
-
-class HeldResponses:
-    """A server's answer that is held back until the test releases it."""
-
-    def __init__(self) -> None:
-        """Hold the responses to all requests from now on."""
-        self.writers: list[asyncio.StreamWriter] = []
-
-    async def __call__(self, _: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        """Hold one response."""
-        self.writers.append(writer)
-
-    def release(self, status: int = 200) -> None:
-        """Write all responses that are held, to the kernel at once."""
-        for writer in self.writers:
-            writer.write(b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n" % status)
-        self.writers.clear()
-
-
-def respond_after(event: asyncio.Event, answer: Answer) -> Answer:
-    """Give the answer once the event is set."""
-
-    async def held(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        await event.wait()
-        await answer(request, writer)
-
-    return held
-
-
-def request_ids(received: Iterable[ReceivedRequest]) -> list[str]:
-    """The clients' ids of requests as servers got them."""
-    return [request.headers["x-request-id"] for request in received]
-
-
-async def response_bodies(harness: LimiterHarness, request_class: str, count: int = 6) -> set[bytes]:
-    """The distinct bodies of the responses to `count` requests, each of a connection of its own."""
-    bodies = set()
-    for number in range(count):
-        response = await harness.send_request(http_request(request_class, request_id=str(number)))
-        bodies.add(response.body)
-    return bodies
-
-
-async def list_is_read(harness: LimiterHarness) -> None:
-    """Wait until the limiter asks for what follows discovery's present version."""
-    await wait_for_version(harness, harness.discovery.version)
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -6,13 +6,19 @@
 import time
 from collections.abc import Callable
 
-PATIENCE_SECONDS = 20.0  # that a condition may take on a busy machine
+# Longest time that a condition may take to hold, which leaves room for a busy machine.
+PATIENCE_SECONDS = 20.0
 _CHECK_INTERVAL_SECONDS = 0.01
 
 
 async def wait_until(condition: Callable[[], object], what: str = "the condition") -> None:
-    """Wait until the condition holds; if that takes too long, fail with `what` did not come about."""
+    """Wait until the condition holds.
+
+    Args:
+        condition: called again and again until it returns something true.
+        what: the condition in words, for the message of the failure if it takes more than PATIENCE_SECONDS.
+    """
     deadline = time.monotonic() + PATIENCE_SECONDS
     while not condition():
-        assert time.monotonic() < deadline, f"{what} did not come about"
+        assert time.monotonic() < deadline, f"timed out waiting for: {what}"
         await asyncio.sleep(_CHECK_INTERVAL_SECONDS)
--- a/tests/transport/test_bad_requests.py
+++ b/tests/transport/test_bad_requests.py
@@ -8,8 +8,8 @@
 import pytest_asyncio
 
 from tests.support.client import http_request
+from tests.support.fake_server import request_ids
 from tests.support.harness import LimiterHarness, running_limiter
-from tests.support.in_process_limiter import request_ids
 
 MAX_BODY_BYTES = 65_536  # The protocol's limit on the body of a request.
 
--- a/tests/transport/test_clients.py
+++ b/tests/transport/test_clients.py
@@ -8,9 +8,8 @@
 import pytest
 
 from tests.support.client import http_request
-from tests.support.fake_server import never_answer, respond_with
+from tests.support.fake_server import never_respond, request_ids, respond_after, respond_with
 from tests.support.harness import LimiterHarness, limiter_with
-from tests.support.in_process_limiter import request_ids, respond_after
 from tests.support.limiter_settings import settings, settings_with_quota
 from tests.support.waiting import PATIENCE_SECONDS, wait_until
 
@@ -65,7 +64,7 @@
     harness: LimiterHarness, tail: bytes
 ) -> None:
     """Bad input behind a request gets an error response at once, and the connection is closed."""
-    harness.servers[0].answer = never_answer
+    harness.servers[0].responder = never_respond
     client = await harness.connect()
     client.send(http_request("submit", deadline_ms=60_000))
     await wait_until(lambda: harness.received)
@@ -98,7 +97,7 @@
 async def test_the_id_of_an_open_request_is_a_conflict(harness: LimiterHarness) -> None:
     """A request with the id of an open one gets 409 and is not forwarded."""
     released = asyncio.Event()
-    harness.servers[0].answer = respond_after(released, respond_with(200, b"mine"))
+    harness.servers[0].responder = respond_after(released, respond_with(200, b"mine"))
     owner = await harness.connect()
     owner.send(http_request(request_id="same"))
     await wait_until(lambda: harness.received)
@@ -162,7 +161,7 @@
 async def test_a_client_that_reads_no_responses_is_closed(harness: LimiterHarness) -> None:
     """The limiter closes its connection and so frees the descriptor."""
     descriptors_before = harness.descriptors()
-    harness.servers[0].answer = respond_with(200, b"x" * 65536)
+    harness.servers[0].responder = respond_with(200, b"x" * 65536)
     client = await harness.connect()
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     for number in range(200):
--- a/tests/transport/test_counter_client.py
+++ b/tests/transport/test_counter_client.py
@@ -12,7 +12,7 @@
 from limiter.transport.counter.counter_client import CounterClient
 from tests.support.client import http_request
 from tests.support.fake_counter import FakeCounter
-from tests.support.fake_server import never_answer
+from tests.support.fake_server import never_respond
 from tests.support.harness import LimiterHarness, limiter_with
 from tests.support.limiter_settings import settings_with_quota
 from tests.support.waiting import wait_until
@@ -44,7 +44,7 @@
         await wait_until(lambda: len(outcomes) > outcomes_before, "an outcome")
 
     for reply in replies:
-        counter.text = reply
+        counter.reply_override = reply
         await call()
     client.close()
     counter.server.close()
@@ -55,7 +55,7 @@
 async def test_calls_have_the_protocols_form_and_late_replies_keep_their_order(
     harness: LimiterHarness,
 ) -> None:
-    harness.counter.delay = 0.08  # Each call times out before its reply comes.
+    harness.counter.delay_seconds = 0.08  # Each call times out before its reply comes.
     for index in range(6):
         assert (await harness.send_request(http_request(request_id=str(index)))).status in (200, 429)
         await asyncio.sleep(0.25)
@@ -65,8 +65,8 @@
         assert 0 <= int(name) < 2**64
         assert float(amount) >= 0
         assert 1 <= int(time_to_live) <= 60000
-    assert harness.counter.connections == 1  # Late replies do not end the connection.
-    harness.counter.delay = 0.0
+    assert harness.counter.accepted_connections == 1  # Late replies do not end the connection.
+    harness.counter.delay_seconds = 0.0
     assert (await harness.send_request(http_request(request_id="last"))).status in (200, 429)
 
 
@@ -92,8 +92,8 @@
 async def test_invalid_reply_ends_the_connection_and_requests_are_still_answered(
     harness: LimiterHarness, reply: bytes
 ) -> None:
-    harness.counter.text = reply
-    await send_requests_until(harness, lambda: harness.counter.connections >= 2)
+    harness.counter.reply_override = reply
+    await send_requests_until(harness, lambda: harness.counter.accepted_connections >= 2)
 
 
 async def test_only_busy_and_err_say_that_nothing_was_added() -> None:
@@ -119,18 +119,18 @@
 
 @limiter_with(settings=settings_with_quota(rate=5.0, burst=4.0))
 async def test_counter_that_does_not_reply_is_connected_to_again(harness: LimiterHarness) -> None:
-    harness.counter.delay = 30.0
-    await send_requests_until(harness, lambda: harness.counter.connections >= 2)
+    harness.counter.delay_seconds = 30.0
+    await send_requests_until(harness, lambda: harness.counter.accepted_connections >= 2)
 
 
 @limiter_with(settings=settings_with_quota(rate=5.0, burst=4.0))
 async def test_counter_that_was_down_is_used_again(harness: LimiterHarness) -> None:
     harness.counter.server.close()
-    harness.counter.text = b"?rubbish\r\n"  # An invalid reply ends the connection.
+    harness.counter.reply_override = b"?rubbish\r\n"  # An invalid reply ends the connection.
     await send_requests_until(harness, lambda: bool(harness.counter.calls))
     await asyncio.sleep(0.3)
     assert (await harness.send_request(http_request())).status in (200, 429)
-    harness.counter.text = None
+    harness.counter.reply_override = None
     await harness.counter.listen()
     harness.counter.calls.clear()
     await send_requests_until(harness, lambda: bool(harness.counter.calls))
@@ -138,19 +138,19 @@
 
 @limiter_with(settings=settings_with_quota(rate=5.0, burst=10.0))
 async def test_busy_counter_keeps_its_connection_and_requests_still_pass(harness: LimiterHarness) -> None:
-    harness.counter.text = b"-BUSY\r\n"
+    harness.counter.reply_override = b"-BUSY\r\n"
     statuses = [
         (await harness.send_request(http_request(request_id=str(index)))).status for index in range(5)
     ]
     assert statuses[0] == 200
-    assert harness.counter.connections == 1  # A rejection is a valid reply.
+    assert harness.counter.accepted_connections == 1  # A rejection is a valid reply.
 
 
 @limiter_with(settings=settings_with_quota(rate=0.5, burst=1.0))
 async def test_requests_held_for_the_counter_end_when_nothing_answers(harness: LimiterHarness) -> None:
-    harness.discovery.up = False
-    harness.counter.delay = 5.0
-    harness.servers[0].answer = never_answer
+    harness.discovery.is_responding = False
+    harness.counter.delay_seconds = 5.0
+    harness.servers[0].responder = never_respond
     requests = [
         http_request(request_id=str(index), deadline_ms=400, headers={"X-Weight": "units=1,spread=2,first=0"})
         for index in range(10)
--- a/tests/transport/test_dial_races.py
+++ b/tests/transport/test_dial_races.py
@@ -7,8 +7,8 @@
 import pytest
 
 from tests.support.client import Connection, http_request
-from tests.support.harness import LimiterHarness, limiter_with
-from tests.support.in_process_limiter import list_is_read, request_ids
+from tests.support.fake_server import request_ids
+from tests.support.harness import LimiterHarness, limiter_with, wait_for_list_read
 from tests.support.limiter_settings import settings
 from tests.support.waiting import wait_until
 
@@ -18,7 +18,7 @@
 async def publish(harness: LimiterHarness, *entries: dict[str, Any], full_list: bool = False) -> None:
     """Publish a list, or changes of it, and wait until the limiter has read them."""
     harness.discovery.publish(*entries, full_list=full_list)
-    await list_is_read(harness)
+    await wait_for_list_read(harness)
 
 
 async def client_of_dialled_server(harness: LimiterHarness) -> Connection:
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -27,7 +27,7 @@
 async def test_draining_and_removed_servers_get_no_new_requests(harness: LimiterHarness) -> None:
     first, second, third = harness.servers
     harness.discovery.publish(first.list_entry("leaving"), second.list_entry("left"))
-    await wait_until(lambda: len(harness.discovery.targets) > 2)
+    await wait_until(lambda: len(harness.discovery.calls) > 2)
     await wait_for_version(harness, 2)
     assert await bodies_of_requests(harness) == {b"from s-2"}
     # A full list removes the servers that it does not name.
@@ -53,8 +53,8 @@
     for _ in range(5):
         harness.discovery.publish(harness.servers[0].list_entry())
         await wait_for_version(harness, harness.discovery.version)
-    assert harness.discovery.connections == 1
-    assert all("since=" in target for _, target in harness.discovery.targets[1:])
+    assert harness.discovery.accepted_connections == 1
+    assert all("since=" in target for _, target in harness.discovery.calls[1:])
 
 
 def test_zones_that_the_settings_do_not_name_are_distinct_and_not_kept() -> None:
@@ -84,13 +84,15 @@
 async def test_after_an_invalid_list_the_last_one_stands_and_the_full_one_is_asked_for(
     harness: LimiterHarness, text: bytes
 ) -> None:
-    connections_before = harness.discovery.connections
-    harness.discovery.text = text
+    connections_before = harness.discovery.accepted_connections
+    harness.discovery.body_override = text
     harness.discovery.publish()
-    await wait_until(lambda: harness.discovery.connections > connections_before, "another connection")
+    await wait_until(
+        lambda: harness.discovery.accepted_connections > connections_before, "another connection"
+    )
     assert (await harness.send_request(http_request())).body == b"from s-0"
-    await wait_until(lambda: harness.discovery.targets[-1].target == "/catalog/members", "the full list")
-    harness.discovery.text = None
+    await wait_until(lambda: harness.discovery.calls[-1].target == "/catalog/members", "the full list")
+    harness.discovery.body_override = None
     harness.discovery.publish(harness.servers[0].list_entry(), full_list=True)
     await wait_for_version(harness, harness.discovery.version)
     assert (await harness.send_request(http_request())).body == b"from s-0"
@@ -98,7 +100,7 @@
 
 @limiter_with(settings=settings(discovery="on_request"))
 async def test_start_asks_for_the_changes_since_the_known_list(harness: LimiterHarness) -> None:
-    assert harness.discovery.targets[0].target == "/catalog/members?since=1&timeout_ms=1"
+    assert harness.discovery.calls[0].target == "/catalog/members?since=1&timeout_ms=1"
     assert (await harness.send_request(http_request())).body == b"from s-0"
 
 
@@ -113,7 +115,7 @@
     harness.process.kill()
     await harness.process.wait()
     await harness.restart(known=known)
-    target = harness.discovery.targets[-1].target
+    target = harness.discovery.calls[-1].target
     assert target == "/catalog/members" or "since=9" in target
     assert await bodies_of_requests(harness) == {b"from s-0"}
     assert unlisted.received == []
@@ -125,11 +127,11 @@
 ) -> None:
     harness.discovery.status = 503
     harness.discovery.publish(harness.servers[1].list_entry("leaving"))
-    calls_before = len(harness.discovery.targets)
-    await wait_until(lambda: len(harness.discovery.targets) > calls_before + 2, "more calls")
+    calls_before = len(harness.discovery.calls)
+    await wait_until(lambda: len(harness.discovery.calls) > calls_before + 2, "more calls")
     harness.discovery.status = 200
     await wait_for_version(harness, 2)
-    assert all("since=" in target for _, target in harness.discovery.targets)
+    assert all("since=" in target for _, target in harness.discovery.calls)
     assert await bodies_of_requests(harness) == {b"from s-0"}
 
 
@@ -159,7 +161,7 @@
     async def wait_for_failure(self, number: int) -> None:
         """Wait for the failure with this number, from 1, and check that the watch does not call by itself."""
         await wait_until(lambda: len(self.failures) == number, "a failed call")
-        assert len(self.discovery.targets) == number
+        assert len(self.discovery.calls) == number
         assert not self.watch.poll_allowed.is_set()
 
 
@@ -190,11 +192,11 @@
     harness: LimiterHarness,
 ) -> None:
     """In a trial with 200 limiters whose calls were rejected for 3 s, the next call came 24 s later."""
-    await wait_until(lambda: harness.discovery.answered)
+    await wait_until(lambda: harness.discovery.response_times)
     harness.discovery.status = 503
     harness.discovery.publish(harness.servers[1].list_entry("leaving"))
-    answered_before = len(harness.discovery.answered)
-    await wait_until(lambda: len(harness.discovery.answered) > answered_before, "a rejected call")
+    responses_before = len(harness.discovery.response_times)
+    await wait_until(lambda: len(harness.discovery.response_times) > responses_before, "a rejected call")
     harness.discovery.status = 200
     began = time.monotonic()
     await wait_for_version(harness, 2)
@@ -205,9 +207,9 @@
 async def test_lower_version_leads_to_the_full_list(harness: LimiterHarness) -> None:
     harness.discovery.version = 0
     harness.discovery.full_list = False
-    harness.discovery.wake = True  # The agent responds to the open watch with its present version.
+    harness.discovery.ends_next_watch = True  # The agent responds to the open watch with its present version.
     await wait_for_version(harness, 0)
-    assert any(target == "/catalog/members" for _, target in harness.discovery.targets)
+    assert any(target == "/catalog/members" for _, target in harness.discovery.calls)
 
 
 def test_calls_to_a_shared_discovery_wait_longer_the_more_limiters_there_are() -> None:
@@ -236,14 +238,14 @@
     harness: LimiterHarness,
 ) -> None:
     """With one long call, a change was missed for as long as that call waited."""
-    await wait_until(lambda: harness.discovery.answered)
-    harness.discovery.up = False
+    await wait_until(lambda: harness.discovery.response_times)
+    harness.discovery.is_responding = False
     harness.discovery.publish(harness.servers[1].list_entry("leaving"))
-    connections_before = harness.discovery.connections
-    await wait_until(lambda: harness.discovery.connections > connections_before + 2, "more calls")
-    for _, target in harness.discovery.targets[-2:]:
+    connections_before = harness.discovery.accepted_connections
+    await wait_until(lambda: harness.discovery.accepted_connections > connections_before + 2, "more calls")
+    for _, target in harness.discovery.calls[-2:]:
         assert target.endswith("timeout_ms=1")
-    harness.discovery.up = True
+    harness.discovery.is_responding = True
     await wait_for_version(harness, 2)
     assert await bodies_of_requests(harness) == {b"from s-0"}
 
@@ -252,10 +254,10 @@
 async def test_discovery_that_does_not_respond_is_connected_to_again_and_its_changes_are_applied(
     harness: LimiterHarness,
 ) -> None:
-    harness.discovery.up = False
-    connections_before = harness.discovery.connections
-    await wait_until(lambda: harness.discovery.connections > connections_before, "a new connection")
-    harness.discovery.up = True
+    harness.discovery.is_responding = False
+    connections_before = harness.discovery.accepted_connections
+    await wait_until(lambda: harness.discovery.accepted_connections > connections_before, "a new connection")
+    harness.discovery.is_responding = True
     harness.discovery.publish(harness.servers[1].list_entry("leaving"))
     await wait_for_version(harness, 2)
     assert await bodies_of_requests(harness) == {b"from s-0"}
@@ -272,8 +274,8 @@
     assert (await harness.send_request(http_request())).status == 200
 
 
-@limiter_with(wait_ready=False, discovery_up=False)
+@limiter_with(wait_ready=False, discovery_responds=False)
 async def test_known_list_is_used_while_discovery_does_not_respond(harness: LimiterHarness) -> None:
     await harness.wait_ready()
     assert (await harness.send_request(http_request())).body == b"from s-0"
-    assert harness.discovery.answered == []
+    assert harness.discovery.response_times == []
--- a/tests/transport/test_discovery_watch_races.py
+++ b/tests/transport/test_discovery_watch_races.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 from tests.support.fake_discovery import FakeDiscovery
-from tests.support.harness import LimiterHarness, limiter_with
-from tests.support.in_process_limiter import response_bodies
+from tests.support.harness import LimiterHarness, limiter_with, response_bodies
 from tests.support.waiting import wait_until
 
 
@@ -12,18 +11,18 @@
 async def test_a_watch_that_is_reset_is_reopened_and_misses_nothing(harness: LimiterHarness) -> None:
     """The new watch asks for all changes since the last version that was read."""
     await wait_until(
-        lambda: harness.discovery.targets and "timeout_ms=1000" in harness.discovery.targets[-1].target,
+        lambda: harness.discovery.calls and "timeout_ms=1000" in harness.discovery.calls[-1].target,
         "a watch is open",
     )
-    connections_before = harness.discovery.connections
+    connections_before = harness.discovery.accepted_connections
     harness.discovery.version += 1  # The connection is reset before the agent responds to the watch.
     harness.discovery.entries = [harness.servers[1].list_entry("leaving")]
     harness.discovery.full_list = False
     harness.discovery.reset_connections()
     await wait_until(
         lambda: (
-            harness.discovery.connections > connections_before
-            and "since=2" in harness.discovery.targets[-1].target
+            harness.discovery.accepted_connections > connections_before
+            and "since=2" in harness.discovery.calls[-1].target
         ),
         "a new watch is open",
     )
@@ -37,14 +36,14 @@
     new_discovery = FakeDiscovery()
     new_discovery.entries = [listed.list_entry()]
     await new_discovery.listen()
-    harness.discovery.up = False  # The old agent holds its response to the watch back.
-    closed_before = harness.discovery.closed
+    harness.discovery.is_responding = False  # The old agent holds its response to the watch back.
+    closed_before = harness.discovery.closed_connections
     harness.reload(discovery=new_discovery.address)
     await wait_until(
-        lambda: new_discovery.targets and "since=1" in new_discovery.targets[-1].target,
+        lambda: new_discovery.calls and "since=1" in new_discovery.calls[-1].target,
         "the new list is read",
     )
     harness.discovery.publish(unlisted.list_entry(), listed.list_entry("left"), full_list=True)
-    harness.discovery.up = True  # The old agent responds now.
-    await wait_until(lambda: harness.discovery.closed > closed_before, "the old watch is closed")
+    harness.discovery.is_responding = True  # The old agent responds now.
+    await wait_until(lambda: harness.discovery.closed_connections > closed_before, "the old watch is closed")
     assert await response_bodies(harness, "order") == {b"from s-0"}
--- a/tests/transport/test_gossip_socket.py
+++ b/tests/transport/test_gossip_socket.py
@@ -135,7 +135,7 @@
 
 async def overload_discovery_while_a_server_drains(harness: LimiterHarness, peer: PeerSocket) -> None:
     """Let discovery reject calls, so that it does not say that s-1 drains; wait for the limiter's report."""
-    await wait_until(lambda: harness.discovery.answered)
+    await wait_until(lambda: harness.discovery.response_times)
     harness.discovery.status = 503
     harness.discovery.publish(harness.servers[1].list_entry("leaving"))
     await wait_until(lambda: peer.received(REJECTED_CALL_PREFIX), "the report of a rejected call")
--- a/tests/transport/test_graceful_shutdown.py
+++ b/tests/transport/test_graceful_shutdown.py
@@ -11,8 +11,8 @@
 from limiter.transport.clients.connection_registry import IDLE_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS
 from limiter.transport.clients.listener import Listener
 from tests.support.client import REQUEST_ID, http_request
-from tests.support.fake_server import FakeServer, ReceivedRequest, never_answer
-from tests.support.in_process_limiter import RawClient, in_process_limiter, request_ids
+from tests.support.fake_server import FakeServer, ReceivedRequest, never_respond, request_ids
+from tests.support.in_process_limiter import RawClient, in_process_limiter
 from tests.support.waiting import wait_until
 
 
@@ -93,7 +93,7 @@
     """The policy may want another attempt as the request's attempts time out."""
     servers = [FakeServer("s-0"), FakeServer("s-1")]
     for server in servers:
-        server.answer = never_answer
+        server.responder = never_respond
     async with in_process_limiter(*servers) as (proxy, listener):
         client = RawClient(listener)
         client.send(http_request())
--- a/tests/transport/test_lifecycle.py
+++ b/tests/transport/test_lifecycle.py
@@ -21,10 +21,9 @@
 from limiter.transport.clock import Clock
 from limiter.transport.driver.proxy import Proxy
 from tests.support.client import http_request
-from tests.support.fake_server import never_answer, respond_with
+from tests.support.fake_server import never_respond, respond_after, respond_with
 from tests.support.harness import ROOT, LimiterHarness, launch_limiter, limiter_with
-from tests.support.in_process_limiter import configuration, respond_after
-from tests.support.limiter_settings import settings, settings_with_quota
+from tests.support.limiter_settings import configuration, settings, settings_with_quota
 from tests.support.waiting import wait_until
 
 # Configuration
@@ -127,7 +126,7 @@
 async def test_sigterm_answers_open_requests_and_exits_with_0(harness: LimiterHarness) -> None:
     """New connections are accepted for a while; each connection is closed with its next response."""
     released = asyncio.Event()
-    harness.servers[0].answer = respond_after(released, respond_with(200, b"complete"))
+    harness.servers[0].responder = respond_after(released, respond_with(200, b"complete"))
     waiting = await harness.connect()
     idle = await harness.connect()
     waiting.send(http_request())
@@ -151,7 +150,7 @@
 @limiter_with(servers=1)
 async def test_sigterm_ends_requests_that_no_server_answers(harness: LimiterHarness) -> None:
     """A request that may have run gets a failure, never a rejection."""
-    harness.servers[0].answer = never_answer
+    harness.servers[0].responder = never_respond
     keyed = await harness.connect()
     idempotent = await harness.connect()
     keyed.send(http_request("submit", deadline_ms=60000))
@@ -198,7 +197,7 @@
 @limiter_with(sockets=64)
 async def test_too_many_connections_with_requests_are_rejected_not_dropped(harness: LimiterHarness) -> None:
     """Connections beyond those that can be rejected wait in the listen backlog."""
-    harness.servers[0].answer = never_answer
+    harness.servers[0].responder = never_respond
     clients = [await harness.connect() for _ in range(60)]
     for number, client in enumerate(clients):
         client.send(http_request(request_id=str(number), deadline_ms=1500))
--- a/tests/transport/test_paused_process.py
+++ b/tests/transport/test_paused_process.py
@@ -22,15 +22,9 @@
 from limiter.transport.servers.server_pool import SETTLE_SECONDS
 from limiter.transport.sockets import hung_up
 from tests.support.client import HEALTH_CHECK, Connection, http_request
-from tests.support.fake_server import FakeServer, respond_with
-from tests.support.harness import LimiterHarness, limiter_with
-from tests.support.in_process_limiter import (
-    HeldResponses,
-    RawClient,
-    in_process_limiter,
-    list_is_read,
-    request_ids,
-)
+from tests.support.fake_server import FakeServer, HeldResponses, request_ids, respond_with
+from tests.support.harness import LimiterHarness, limiter_with, wait_for_list_read
+from tests.support.in_process_limiter import RawClient, in_process_limiter
 from tests.support.limiter_settings import settings_with_quota
 from tests.support.waiting import wait_until
 
@@ -81,7 +75,7 @@
 
 async def open_idle_connections(harness: LimiterHarness, count: int) -> HeldResponses:
     """Make this many idle connections to the server, so that attempts need no dial; hold its responses."""
-    held = harness.servers[0].answer = HeldResponses()
+    held = harness.servers[0].responder = HeldResponses()
     clients = [await harness.connect() for _ in range(count)]
     for number, client in enumerate(clients):
         client.send(http_request(request_id=f"{number}", customer=f"{16 + number:016x}"))
@@ -106,7 +100,7 @@
     reused.send(http_request(request_id="1"))
     assert (await reused.response()).status == 200
     await open_idle_connections(harness, 3)
-    harness.servers[0].answer = respond_with(200)
+    harness.servers[0].responder = respond_with(200)
     await pause(harness)
     for number, client in enumerate((reused, silent, await harness.connect())):
         client.send(http_request(request_id=f"disconnected-{number}"))
@@ -124,7 +118,7 @@
     client = await harness.connect()
     client.send(http_request(request_id="attempted"))
     await wait_until(lambda: held.writers)
-    harness.servers[0].answer = respond_with(200)
+    harness.servers[0].responder = respond_with(200)
     await pause(harness)
     if is_failure_first:
         held.release(500)
@@ -144,8 +138,8 @@
 ) -> None:
     """The limiter finds the counter's reply and the end of the client's connection at once."""
     await open_idle_connections(harness, 2)
-    harness.servers[0].answer = respond_with(200)
-    harness.counter.delay = 60.0
+    harness.servers[0].responder = respond_with(200)
+    harness.counter.delay_seconds = 60.0
     calls_before = len(harness.counter.calls)
     client = await harness.connect()
     client.send(http_request(headers={"X-Weight": "units=1,spread=2,first=0"}))
@@ -191,7 +185,7 @@
     client = await harness.connect()
     client.send(http_request("order", request_id="1") + http_request("order", request_id="2"))
     await wait_until(lambda: held.writers)
-    harness.servers[0].answer = respond_with(200)
+    harness.servers[0].responder = respond_with(200)
     await pause(harness)
     held.release()
     await disconnect(client, way)
@@ -201,7 +195,7 @@
 async def test_the_next_pipelined_request_is_not_forwarded_where_reading_is_paused() -> None:
     """The client's end is not read there; its late notice does not release the id of another request."""
     server = FakeServer("s-0")
-    held = server.answer = HeldResponses()
+    held = server.responder = HeldResponses()
     async with in_process_limiter(server) as (proxy, listener):
         client = RawClient(listener)
         client.send(http_request(request_id="1") + http_request(request_id="2"))
@@ -267,14 +261,14 @@
 async def check_discovery_is_read(harness: LimiterHarness) -> None:
     """Check that the limiter reads a new list within a second once discovery responds again."""
     harness.discovery.publish(harness.servers[1].list_entry("leaving"))
-    harness.discovery.up = True
+    harness.discovery.is_responding = True
     started = time.monotonic()
-    await list_is_read(harness)
+    await wait_for_list_read(harness)
     assert time.monotonic() - started < 1.0
 
 
 @pytest.mark.parametrize("data", [b"", http_request(request_id="half")[:60], HEALTH_CHECK])
-@limiter_with(servers=2, sockets=128, discovery_up=False)
+@limiter_with(servers=2, sockets=128, discovery_responds=False)
 async def test_idle_clients_displace_neither_working_clients_nor_discovery(
     harness: LimiterHarness, data: bytes
 ) -> None:
@@ -296,7 +290,7 @@
     harness: LimiterHarness, data: bytes
 ) -> None:
     """The limiter finds ten times as many new connections as it has capacity for, while discovery is down."""
-    harness.discovery.up = False
+    harness.discovery.is_responding = False
     await pause(harness)
     idle_clients: list[Connection] = []
     for _ in range(10):
--- a/tests/transport/test_pipelining.py
+++ b/tests/transport/test_pipelining.py
@@ -6,9 +6,8 @@
 from dataclasses import dataclass
 
 from tests.support.client import http_request
-from tests.support.fake_server import ReceivedRequest, respond_with
+from tests.support.fake_server import ReceivedRequest, request_ids, respond_after, respond_with
 from tests.support.harness import LimiterHarness, limiter_with
-from tests.support.in_process_limiter import request_ids, respond_after
 from tests.support.limiter_settings import settings
 from tests.support.waiting import wait_until
 
@@ -18,7 +17,7 @@
 ) -> None:
     """It is dropped with its connection."""
     released = asyncio.Event()
-    harness.servers[0].answer = respond_after(released, respond_with(200))
+    harness.servers[0].responder = respond_after(released, respond_with(200))
     client = await harness.connect()
     client.send(http_request("order", request_id="1") + http_request("order", request_id="2"))
     await wait_until(lambda: harness.received)
@@ -87,7 +86,7 @@
 @limiter_with(settings=settings(contracts=TWO_PLANS, peersTotal=3))
 async def test_requests_of_unlike_customers_and_classes_share_a_connection(harness: LimiterHarness) -> None:
     """Each keeps its own headers, deadline and outcome."""
-    harness.servers[0].answer = respond_by_class
+    harness.servers[0].responder = respond_by_class
     client = await harness.connect()
     for number in range(12):
         request = MixedRequest.numbered(number)
--- a/tests/transport/test_reload.py
+++ b/tests/transport/test_reload.py
@@ -10,8 +10,7 @@
 from tests.support.client import http_request
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_discovery import FakeDiscovery
-from tests.support.harness import LimiterHarness, limiter_with
-from tests.support.in_process_limiter import response_bodies
+from tests.support.harness import LimiterHarness, limiter_with, response_bodies
 from tests.support.limiter_settings import settings_with_quota
 from tests.support.waiting import wait_until
 
@@ -42,15 +41,15 @@
     first, second = harness.servers
     harness.discovery.version = 900
     harness.discovery.publish(first.list_entry(), full_list=True)
-    await wait_until(lambda: "since=901" in harness.discovery.targets[-1].target)
+    await wait_until(lambda: "since=901" in harness.discovery.calls[-1].target)
     new_discovery = await listening_discovery(second.list_entry(), version=3)
     harness.reload(discovery=new_discovery.address)
-    await send_requests_until(harness, lambda: len(new_discovery.targets) > 1)
-    assert new_discovery.targets[0].target == "/catalog/members"
-    assert "since=3" in new_discovery.targets[1].target
+    await send_requests_until(harness, lambda: len(new_discovery.calls) > 1)
+    assert new_discovery.calls[0].target == "/catalog/members"
+    assert "since=3" in new_discovery.calls[1].target
     assert await response_bodies(harness, "submit") == {b"from s-1"}
     new_discovery.publish(first.list_entry(), second.list_entry("leaving"))
-    await wait_until(lambda: "since=4" in new_discovery.targets[-1].target)
+    await wait_until(lambda: "since=4" in new_discovery.calls[-1].target)
     assert await response_bodies(harness, "submit") == {b"from s-0"}
 
 
@@ -59,19 +58,19 @@
     """Another move works while the first one is under way, and so does a move back to the first agent."""
     first, second = harness.servers
     harness.discovery.publish(first.list_entry(), full_list=True)
-    await wait_until(lambda: "since=2" in harness.discovery.targets[-1].target)
+    await wait_until(lambda: "since=2" in harness.discovery.calls[-1].target)
     silent = await listening_discovery()
     new_discovery = await listening_discovery(second.list_entry())
-    silent.up = False
+    silent.is_responding = False
     harness.reload(discovery=silent.address)
-    await send_requests_until(harness, lambda: silent.targets)
+    await send_requests_until(harness, lambda: silent.calls)
     assert (await harness.send_request(http_request("submit"))).body == b"from s-0"
     harness.reload(discovery=new_discovery.address)  # The first move is still under way.
-    await wait_until(lambda: len(new_discovery.targets) > 1)
+    await wait_until(lambda: len(new_discovery.calls) > 1)
     assert (await harness.send_request(http_request("submit"))).body == b"from s-1"
     harness.reload(discovery=harness.discovery.address)
-    await wait_until(lambda: harness.discovery.targets[-1].target.endswith("timeout_ms=1000"))
-    await wait_until(lambda: harness.discovery.connections == 2)
+    await wait_until(lambda: harness.discovery.calls[-1].target.endswith("timeout_ms=1000"))
+    await wait_until(lambda: harness.discovery.accepted_connections == 2)
     harness.process.send_signal(signal.SIGHUP)
     assert await harness.stop() == 0
 
@@ -108,7 +107,7 @@
     """Their replies are read, and the old connection is closed."""
     new_counter = FakeCounter()
     await new_counter.listen()
-    harness.counter.delay = 0.04  # The limiter's calls time out after 0.05 s, so these replies are in time.
+    harness.counter.delay_seconds = 0.04  # Calls time out after 0.05 s.
     sending = asyncio.create_task(send_sixty_requests(harness))
     await wait_until(lambda: harness.counter.calls)
     harness.reload(counter=new_counter.address)
@@ -119,7 +118,8 @@
     # Each unit that was forwarded is added once, or is still to be added.
     assert added <= len(harness.received) + 1e-6
     await wait_until(
-        lambda: harness.counter.closed == harness.counter.connections, "the old connection is closed"
+        lambda: harness.counter.closed_connections == harness.counter.accepted_connections,
+        "the old connection is closed",
     )
 
 
--- a/tests/transport/test_requests.py
+++ b/tests/transport/test_requests.py
@@ -14,10 +14,10 @@
 from limiter.transport.servers.server_pool import SETTLE_SECONDS
 from tests.support.client import HEALTH_CHECK, Response, http_request
 from tests.support.fake_server import (
-    Answer,
     FakeServer,
     ReceivedRequest,
-    never_answer,
+    Responder,
+    never_respond,
     reset_connection,
     respond_raw,
     respond_with,
@@ -49,7 +49,7 @@
 
 
 async def test_request_and_response_are_forwarded_unchanged(harness: LimiterHarness) -> None:
-    harness.servers[0].answer = respond_with(200, b"\x00answer", "Content-Type: text/x")
+    harness.servers[0].responder = respond_with(200, b"\x00answer", "Content-Type: text/x")
     response = await harness.send_request(
         http_request("submit", body=b"a\r\n\r\nbody", query="?a=1&b=%20", headers={"Accept": "text/x"})
     )
@@ -79,7 +79,7 @@
         client.send(b"4\r\ndefg\r\n0\r\n\r\n")
         assert (await client.response()).status == 200
     assert [received.body for received in harness.received] == [b"abcdefg"] * 3
-    assert {received.connection for received in harness.received} == {1}
+    assert {received.connection_number for received in harness.received} == {1}
 
 
 async def test_pipelined_requests_are_answered_in_order(harness: LimiterHarness) -> None:
@@ -89,13 +89,13 @@
 
 
 async def test_request_that_no_server_answers_ends_at_its_deadline(harness: LimiterHarness) -> None:
-    harness.servers[0].answer = never_answer
+    harness.servers[0].responder = never_respond
     client = await harness.connect()
     began = time.monotonic()
     client.send(http_request(deadline_ms=300))
     assert (await client.response()).status in (429, 503, 504)
     assert time.monotonic() - began > 0.25  # It is not given up before its deadline of 300 ms.
-    harness.servers[0].answer = respond_with(200, b"next")
+    harness.servers[0].responder = respond_with(200, b"next")
     client.send(http_request(request_id="2"))
     # This is the response to the second request, not a late one to the first.
     assert (await client.response()).body == b"next"
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        never_answer,
+        never_respond,
         reset_connection,
         respond_raw(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut"),
         respond_with(503),  # The header that proves that the request did not run is missing.
@@ -112,15 +112,15 @@
     ids=["no response", "reset", "incomplete response", "error without proof"],
 )
 async def test_keyed_request_that_may_have_run_fails_and_is_never_rejected(
-    harness: LimiterHarness, answer: Answer
+    harness: LimiterHarness, answer: Responder
 ) -> None:
-    harness.servers[0].answer = answer
+    harness.servers[0].responder = answer
     assert (await harness.send_request(http_request("submit", deadline_ms=400))).status in (502, 504)
 
 
 @pytest.mark.parametrize("status", [503, 504])
 async def test_keyed_request_proved_not_to_have_run_is_rejected(harness: LimiterHarness, status: int) -> None:
-    harness.servers[0].answer = respond_with(status, b"", "X-Not-Run: 1")
+    harness.servers[0].responder = respond_with(status, b"", "X-Not-Run: 1")
     assert (await harness.send_request(http_request("submit", deadline_ms=400))).status in (429, 503)
 
 
@@ -139,7 +139,7 @@
     await check_served_by(serving, harness, request_count=14)
 
 
-def respond_endlessly(head: bytes, piece: bytes) -> Answer:
+def respond_endlessly(head: bytes, piece: bytes) -> Responder:
     """Return a responder that writes the piece after the head for as long as the limiter reads."""
 
     async def answer(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
@@ -178,14 +178,14 @@
 
 @pytest.mark.parametrize("answer", INVALID_RESPONSES.values(), ids=INVALID_RESPONSES.keys())
 async def test_invalid_response_fails_the_attempt_and_closes_the_connection(
-    harness: LimiterHarness, answer: Answer
+    harness: LimiterHarness, answer: Responder
 ) -> None:
-    harness.servers[0].answer = answer
+    harness.servers[0].responder = answer
     # The limiter notices invalid bytes, or that the rest does not come, long before the deadline.
     assert (await harness.send_request(http_request("submit", deadline_ms=60_000))).status in (502, 504)
-    harness.servers[0].answer = respond_with(200, b"fine")
+    harness.servers[0].responder = respond_with(200, b"fine")
     assert (await harness.send_request(http_request("submit", request_id="2"))).body == b"fine"
-    assert len({received.connection for received in harness.received}) == len(harness.received)
+    assert len({received.connection_number for received in harness.received}) == len(harness.received)
 
 
 RESPONSE_ONE = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
@@ -196,9 +196,9 @@
 async def test_bytes_behind_a_response_are_not_the_next_response(
     harness: LimiterHarness, tail: bytes
 ) -> None:
-    harness.servers[0].answer = respond_raw(RESPONSE_ONE + tail)
+    harness.servers[0].responder = respond_raw(RESPONSE_ONE + tail)
     assert (await harness.send_request(http_request())).body == b"one"
-    harness.servers[0].answer = respond_with(200, b"two")
+    harness.servers[0].responder = respond_with(200, b"two")
     assert (await harness.send_request(http_request())).body == b"two"
 
 
@@ -226,11 +226,11 @@
 async def body_after_twofold_response(harness: LimiterHarness, twofold: TwofoldResponse) -> bytes:
     """Send a request that gets two responses and another that gets one; return the body of the other's."""
     round_number = len(twofold.delays_seconds)
-    harness.servers[0].answer = twofold
+    harness.servers[0].responder = twofold
     client = await harness.connect()
     client.send(http_request(request_id=f"{round_number}a"))
     assert (await client.response()).body == b"one"
-    harness.servers[0].answer = respond_with(200, b"two")
+    harness.servers[0].responder = respond_with(200, b"two")
     client.send(http_request(request_id=f"{round_number}b"))
     response = await client.response()
     await wait_until(lambda: len(twofold.delays_seconds) > round_number, "the second response is written")
@@ -249,7 +249,7 @@
 
 
 async def test_interim_response_is_passed_over(harness: LimiterHarness) -> None:
-    harness.servers[0].answer = respond_raw(
+    harness.servers[0].responder = respond_raw(
         b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes"
     )
     assert (await harness.send_request(http_request())).body == b"yes"
@@ -265,7 +265,7 @@
             await asyncio.sleep(STALL_SECONDS / 3)
             writer.write(part)
 
-    harness.servers[0].answer = respond_slowly
+    harness.servers[0].responder = respond_slowly
     assert (await harness.send_request(http_request("submit", deadline_ms=60_000))).body == b"inpart"
     assert len(harness.received) == 1
 
@@ -280,11 +280,11 @@
     # Within the keepalive, but after half of it, from which on the limiter does not reuse the connection.
     await asyncio.sleep(0.8 * KEEPALIVE_SECONDS)
     assert (await harness.send_request(http_request("submit", request_id="2"))).status == 200
-    assert [received.connection for received in harness.received] == [1, 2]
+    assert [received.connection_number for received in harness.received] == [1, 2]
 
 
 async def test_disconnected_clients_leave_no_sockets_behind(harness: LimiterHarness) -> None:
-    harness.servers[0].answer = never_answer
+    harness.servers[0].responder = never_respond
     descriptors_before = harness.descriptors()
     for index in range(20):
         client = await harness.connect()
@@ -293,7 +293,7 @@
         client.close()
     assert harness.received
     await wait_until(lambda: harness.descriptors() <= descriptors_before + 1, "all sockets closed")
-    harness.servers[0].answer = respond_with(200, b"fine")
+    harness.servers[0].responder = respond_with(200, b"fine")
     # For a while the limiter takes a server that has not responded for one without capacity, and rejects.
     response = await send_while(harness, http_request(request_id="last"), status=429)
     assert response.body == b"fine"
--- a/tests/transport/test_restart_together.py
+++ b/tests/transport/test_restart_together.py
@@ -53,7 +53,7 @@
         self.discovery = FakeDiscovery()
         self.counter = FakeCounter()
         self.full = SlowAcceptServer("full")
-        self.discovery.up = state is not DiscoveryState.NOT_RESPONDING
+        self.discovery.is_responding = state is not DiscoveryState.NOT_RESPONDING
         self.discovery.status = 503
 
     async def listen(self) -> None:
@@ -74,7 +74,7 @@
 
     def recover(self) -> None:
         """Let discovery respond with its list from now on."""
-        self.discovery.up = True
+        self.discovery.is_responding = True
         self.discovery.status = 200
 
 
--- a/tests/transport/test_server_connection_races.py
+++ b/tests/transport/test_server_connection_races.py
@@ -13,7 +13,7 @@
 from limiter.transport.servers.server_pool import ServerPool
 from limiter.transport.sockets import unread
 from tests.support.client import http_request
-from tests.support.fake_server import Answer, FakeServer, ReceivedRequest, never_answer, respond_with
+from tests.support.fake_server import FakeServer, ReceivedRequest, Responder, never_respond, respond_with
 from tests.support.in_process_limiter import RawClient, in_process_limiter
 from tests.support.waiting import wait_until
 
@@ -27,7 +27,7 @@
         writers: for each request, the server's end of its connection.
     """
 
-    def __init__(self, responder: Answer) -> None:
+    def __init__(self, responder: Responder) -> None:
         """Take the responder that writes the responses."""
         self.responder = responder
         self.writers: list[asyncio.StreamWriter] = []
@@ -40,7 +40,7 @@
 
 async def respond_with_connection_number(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     """Respond with the number of the server's connection that the request came on."""
-    await respond_with(200, b"%d" % request.connection)(request, writer)
+    await respond_with(200, b"%d" % request.connection_number)(request, writer)
 
 
 async def result_of_attempt(pool: ServerPool, request: bytes) -> tuple[Outcome, bytes]:
@@ -63,7 +63,7 @@
     """What waits in the kernel decides, whether or not the event loop has read it."""
     monkeypatch.setattr(server_pool, "SETTLE_SECONDS", 0.0)
     server = FakeServer("s-0")
-    server.answer = responder = RecordingResponder(respond_with_connection_number)
+    server.responder = responder = RecordingResponder(respond_with_connection_number)
     async with in_process_limiter(server) as (proxy, listener):
         client = RawClient(listener)
         client.send(http_request("order", request_id="1"))
@@ -83,7 +83,7 @@
 async def test_an_abandoned_attempt_is_closed_before_anything_else_is_sent() -> None:
     """Two attempts of a request that must not run twice may not overlap."""
     server = FakeServer("s-0")
-    server.answer = responder = RecordingResponder(never_answer)
+    server.responder = responder = RecordingResponder(never_respond)
     async with in_process_limiter(server) as (proxy, listener):
         client = RawClient(listener)
         client.send(http_request())
--- a/tests/transport/test_startup.py
+++ b/tests/transport/test_startup.py
@@ -14,7 +14,7 @@
 from tests.support.client import Connection, Response, http_request
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer
-from tests.support.in_process_limiter import configuration
+from tests.support.limiter_settings import configuration
 from tests.support.waiting import PATIENCE_SECONDS, wait_until
 
 
@@ -60,15 +60,15 @@
     discovery = FakeDiscovery()
     for peer in (draining, ready, discovery):
         await peer.listen()
-    discovery.up = False  # It accepts the limiter's call and holds its response back.
+    discovery.is_responding = False  # It accepts the limiter's call and holds its response back.
     discovery.publish(draining.list_entry("leaving"), ready.list_entry(), full_list=True)
     port = free_port()
     limiter = asyncio.create_task(__main__.run(configuration_between(port, discovery, [draining, ready])))
-    await wait_until(lambda: discovery.targets, "discovery is polled")
+    await wait_until(lambda: discovery.calls, "discovery is polled")
     with pytest.raises(ConnectionRefusedError):
         await asyncio.open_connection("127.0.0.1", port)
-    discovery.up = True
-    await wait_until(lambda: discovery.answered, "discovery has responded")
+    discovery.is_responding = True
+    await wait_until(lambda: discovery.response_times, "discovery has responded")
     for number in range(6):
         response = await send_once_listening(port, http_request("order", request_id=str(number)))
         assert response.body == b"from s-1"
