--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from limiter.configuration.config import Address, Config
+from limiter.configuration.config import Config
 from limiter.model.actions import (
     BroadcastGossip,
     CancelAttempt,
@@ -24,7 +24,6 @@
 from limiter.model.events import (
     CounterReply,
     DiscoveryPollFailed,
-    Endpoint,
     EndpointsChanged,
     EndpointState,
     Event,
@@ -34,7 +33,8 @@
 )
 from limiter.policy.engine import PolicyEngine
 from limiter.transport.clock import Clock
-from limiter.transport.counter.counter_client import CounterClient
+from limiter.transport.counter.counter_client import CounterClient, CounterClientOptions
+from limiter.transport.discovery.endpoint_list import ListedEndpoint
 from limiter.transport.driver.request_forwarder import RequestForwarder
 from limiter.transport.gossip.gossip_socket import GossipSocket
 from limiter.transport.servers.server_pool import ServerPool
@@ -58,10 +58,9 @@
         self.settings = config.settings
         self.engine = PolicyEngine(config.settings, config.seed)
         self.pool = ServerPool(
-            loop,
-            config.dial_timeout_ms,
-            config.keepalive_ms,
-            config.descriptor_share(SERVER_CONNECTION_SHARE),
+            dial_timeout_ms=config.dial_timeout_ms,
+            keepalive_ms=config.keepalive_ms,
+            max_connections=config.descriptor_share(SERVER_CONNECTION_SHARE),
         )
         self.forwarder = RequestForwarder(loop, clock, config.settings, self.pool, self._handle_event)
         self.requests = self.forwarder.requests
@@ -76,15 +75,17 @@
     def _make_counter(self, config: Config) -> CounterClient | None:
         if config.counter is None:
             return None
-        timeout = config.settings.counter_timeout
-        return CounterClient(
-            self._loop, config.counter, timeout, config.dial_timeout_ms, self._counter_replied
+        options = CounterClientOptions(
+            address=config.counter,
+            timeout_ms=config.settings.counter_timeout,
+            dial_timeout_ms=config.dial_timeout_ms,
         )
+        return CounterClient(options, self._counter_replied)
 
     def _make_gossip(self, config: Config) -> GossipSocket | None:
         if config.gossip is None:
             return None
-        return GossipSocket(self._loop, config.gossip, config.settings.limiter_index, self._gossip_received)
+        return GossipSocket(config.gossip, config.settings.limiter_index, self._gossip_received)
 
     def _action_handlers(self) -> dict[type, Callable[[Any], None]]:
         return {
@@ -108,7 +109,7 @@
     # Events from outside
 
     def servers_changed(
-        self, servers: list[tuple[Endpoint, Address]], is_full_list: bool, from_cache: bool = False
+        self, servers: list[ListedEndpoint], is_full_list: bool, from_cache: bool = False
     ) -> None:
         """Apply the endpoint list, or what changed of it."""
         listed = set()
--- a/scale/hollow/clients.py
+++ b/scale/hollow/clients.py
@@ -10,7 +10,7 @@
 from scale.hollow.customers import Arrivals, Customer
 from scale.hollow.limiters import Limiter, LimiterHost
 from scale.hollow.requests import Request, RequestLedger
-from scale.hollow.tally import FinalAnswer
+from scale.hollow.tally import RequestOutcome
 
 UNITS_PER_REQUEST = 1.0
 
@@ -20,10 +20,10 @@
     """A request that a client is going to send."""
 
     customer: int
-    limiter: int  # that it comes in through, unless that one is known to be down
+    limiter: int  # number of the limiter to send it to, unless that one is known to be down
     request_class: int
     work: float  # ms of one core
-    patience: float  # ms
+    client_timeout: float  # ms
     is_retry: bool
 
 
@@ -39,7 +39,8 @@
         ledger: RequestLedger,
     ) -> None:
         """Send nothing until `start`."""
-        self.sent_count = 0  # requests, those of the warm-up and those that reached no limiter too
+        # All requests so far, also those of the warm-up and those that reached no limiter.
+        self.sent_count = 0
         self._parameters = context.experiment.clients
         self._classes = context.experiment.classes
         self._limiter_count = context.experiment.limiters
@@ -62,11 +63,11 @@
     def request_rejected(self, limiter: Limiter, request_id: int) -> None:
         """Carry out RejectRequest; the client of a first request may retry."""
         request = limiter.requests.get(request_id)
-        if request is None or request.answer is not None:
+        if request is None or request.outcome is not None:
             return
         if request.attempt_count == 0 and request.quota.is_half_free(self._clock.now):
             self._tally.request_rejected_within_quota(request.arrived)
-        self._ledger.finish(limiter, request_id, FinalAnswer.REJECTED)
+        self._ledger.finish(limiter, request_id, RequestOutcome.REJECTED)
         if not request.event.is_retry and self._rng.random() < self._parameters.retry_probability:
             self._schedule_retry(limiter, request)
 
@@ -82,7 +83,7 @@
             limiter=arrivals.limiters[index],
             request_class=arrivals.classes[index],
             work=arrivals.works[index],
-            patience=arrivals.patience[index],
+            client_timeout=arrivals.client_timeouts[index],
             is_retry=False,
         )
         self._send(planned)
@@ -94,7 +95,7 @@
         self.sent_count += 1
         self._tally.request_arrived(now)
         if not limiter.is_up:
-            self._tally.request_answered(now, now, FinalAnswer.UNREACHABLE, planned.is_retry)
+            self._tally.request_ended(now, now, RequestOutcome.UNREACHABLE, planned.is_retry)
             return
         self._last_request_id += 1
         event = ClientRequest(
@@ -105,16 +106,16 @@
             units=UNITS_PER_REQUEST,
             limiter_set_size=float(customer.limiter_set_size),
             limiter_set_start=float(customer.limiter_set_start),
-            expires_at=now + planned.patience,
+            expires_at=now + planned.client_timeout,
             is_retry=planned.is_retry,
         )
         request = Request(event, now, customer.quota, planned.work)
         self._ledger.open(limiter, request)
         self._clock.call_at(event.expires_at, self._expire, limiter, limiter.incarnation, request)
-        self._host.feed(limiter, event)
+        limiter.feed(event)
 
     def _limiter_for(self, customer: Customer, number: int) -> Limiter:
-        """That limiter, or one of the customer's set that is up where this one is known to be down."""
+        """Return that limiter, or one of the customer's set that is up if it is known to be down."""
         limiters = self._host.limiters
         limiter = limiters[number]
         if limiter.is_up or self._clock.now - limiter.state_since < self._parameters.failover_delay:
@@ -131,29 +132,32 @@
         if self._rng.random() < self._parameters.retry_elsewhere_probability:
             member = customer.limiter_set_start + self._rng.randrange(customer.limiter_set_size)
             number = member % self._limiter_count
-        patience = self._rng.uniform(*self._parameters.patience)
+        timeout_share = self._rng.uniform(*self._parameters.timeout_share)
         retry = PlannedRequest(
             customer=rejected.customer,
             limiter=number,
             request_class=rejected.request_class,
             work=request.work,
-            patience=patience * self._classes[rejected.request_class].deadline,
+            client_timeout=timeout_share * self._classes[rejected.request_class].deadline,
             is_retry=True,
         )
         delay = self._rng.uniform(*self._parameters.retry_delay)
         self._clock.call_at(self._clock.now + delay, self._send, retry)
 
     def _expire(self, limiter: Limiter, incarnation: int, request: Request) -> None:
-        """End a request at its deadline: attempts time out, and the driver answers if the module does not."""
+        """End a request at its deadline: attempts time out.
+
+        The driver ends the request if the policy engine did not.
+        """
         if limiter.incarnation != incarnation or request.event.id not in limiter.requests:
             return
         request.expires_at = self._clock.now
         for attempt in request.in_flight[:]:
             self._attempts.end(attempt, Outcome.TIMEOUT)
-        if request.answer is None:
+        if request.outcome is None:
             is_idempotent = self._classes[request.event.request_class].is_idempotent
             may_retry = not request.may_have_run or is_idempotent
-            self._ledger.answer(request, FinalAnswer.REJECTED if may_retry else FinalAnswer.FAILED)
-            self._tally.answered_by_driver += 1
-            self._host.feed(limiter, ClientDisconnected(request.event.id))
+            self._ledger.end(request, RequestOutcome.REJECTED if may_retry else RequestOutcome.FAILED)
+            self._tally.ended_by_driver += 1
+            limiter.feed(ClientDisconnected(request.event.id))
         self._ledger.forget_if_over(limiter, request)
--- a/scale/hollow/rig.py
+++ b/scale/hollow/simulation.py
@@ -1,4 +1,4 @@
-"""The rig: real decision modules between the stand-ins, put together for one experiment."""
+"""The simulation of one experiment: real policy engines among simulated peers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from scale.hollow.servers import ServerFleet
 
 
-class Rig:
+class Simulation:
     """All parts of one experiment, with starts, first request and faults scheduled."""
 
     def __init__(self, experiment: HollowExperiment) -> None:
@@ -31,13 +31,13 @@
         self.ledger = RequestLedger(context)
         self.host = LimiterHost(context, self.ledger)
         self.servers = ServerFleet(context, self.host.discovery)
-        attempts = AttemptDriver(context, self.servers.servers, self.ledger, self.host.feed)
+        attempts = AttemptDriver(context, self.servers.servers, self.ledger)
         self.clients = Clients(context, arrivals, self.host, attempts, self.ledger)
         self.servers.on_reply = attempts.server_replied
         self.host.attempts = attempts
         self.host.clients = self.clients
         for limiter in self.host.limiters:
-            start_at = context.rng.uniform(*experiment.start_spread)
+            start_at = context.rng.uniform(*experiment.start_delay)
             self.clock.call_at(start_at, self.host.start, limiter)
         self.clients.start()
         FaultInjector(context, self.host, self.servers).start()
--- /dev/null
+++ b/scale/process/fleet_load.py
@@ -0,0 +1,52 @@
+"""Load of a whole fleet of limiters on the roles that they share.
+
+The figures are derived from the settings; nothing is measured here.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from limiter.policy.usage_gossip import INTAKE_SHARE, MIN_INTERVAL_MS
+from limiter.transport.discovery.poll_pacing import PollPacing
+
+
+@dataclass(frozen=True, slots=True)
+class LimiterFleet:
+    """A fleet of limiters that all have the same load."""
+
+    limiters: int
+    discovery_is_pushed: bool
+    changes_per_s: float  # changes of the endpoint list
+    requests_per_s: float  # requests at each limiter
+    counter_calls_per_request: float
+    gossip_intake_per_s: float  # messages that each limiter may take in
+
+
+@dataclass(frozen=True, slots=True)
+class FleetLoad:
+    """Calls and messages a second, of all limiters together unless said otherwise."""
+
+    discovery_calls: float  # watches that end, with changes or without
+    discovery_entries: float  # entries of the list in responses of discovery
+    counter_calls: float
+    gossip_interval_s: float  # time between two messages of one limiter, each to all others
+    datagrams: float  # gossip datagrams; a message is one to each other limiter
+
+
+def fleet_load(fleet: LimiterFleet) -> FleetLoad:
+    """Derive the load of a fleet on counter, discovery and gossip.
+
+    A change of the list ends all watches. A watch without a change ends after the time that its pacing gives.
+    """
+    pacing = PollPacing.for_fleet(fleet.limiters, is_pushed=fleet.discovery_is_pushed)
+    watch_s = pacing.long_poll_ms / 1000
+    peers = fleet.limiters - 1
+    interval_s = max(MIN_INTERVAL_MS / 1000, peers / (INTAKE_SHARE * fleet.gossip_intake_per_s))
+    return FleetLoad(
+        discovery_calls=fleet.limiters * max(fleet.changes_per_s, 1 / watch_s),
+        discovery_entries=fleet.limiters * fleet.changes_per_s,
+        counter_calls=fleet.limiters * fleet.requests_per_s * fleet.counter_calls_per_request,
+        gossip_interval_s=interval_s,
+        datagrams=fleet.limiters * peers / interval_s,
+    )
