--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -21,7 +21,7 @@
     def __init__(
         self,
         context: Context,
-        servers: Mapping[bytes, Server[Attempt]],
+        servers: Mapping[bytes, Server],
         ledger: RequestLedger,
     ) -> None:
         """Take the servers by id, and the ledger of the requests that attempts are made for."""
@@ -41,7 +41,7 @@
         now = self._clock.now
         time_left = request.expires_at - now
         timeout = min(action.timeout, time_left) if action.timeout else time_left
-        attempt = Attempt(request, limiter, self._servers[action.endpoint_id], now)
+        attempt = Attempt(request, limiter, self._servers[action.endpoint_id], now, self._server_replied)
         request.attempt_count += 1
         request.in_flight.append(attempt)
         if request.outcome is not None or timeout <= 0 or attempt.number >= self._max_attempts:
@@ -63,11 +63,6 @@
             if attempt.number == number:
                 self._clock.call_at(self._clock.now, self.end, attempt, Outcome.CANCELLED)
 
-    def server_replied(self, attempt: Attempt, outcome: Outcome) -> None:
-        """A server is done with an attempt: its response sets out for the limiter."""
-        attempt.is_over = True
-        self._network.call_after_delay(attempt.limiter.zone, attempt.server.zone, self.end, attempt, outcome)
-
     def end(self, attempt: Attempt, outcome: Outcome) -> None:
         """End an attempt at its limiter and notify its policy engine; nothing if it has ended."""
         if attempt.is_ended:
@@ -99,6 +94,10 @@
             server = attempt.server
             self._network.call_after_delay(attempt.limiter.zone, server.zone, server.leave, attempt)
 
+    def _server_replied(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Send a server's response to the limiter."""
+        self._network.call_after_delay(attempt.limiter.zone, attempt.server.zone, self.end, attempt, outcome)
+
     def _record_forwarded(self, attempt: Attempt) -> None:
         """Count a request's units when it is forwarded for the first time."""
         request = attempt.request
--- a/scale/hollow/counter.py
+++ b/scale/hollow/counter.py
@@ -53,6 +53,10 @@
         else:
             self._clock.call_at(called_at + delay, self._arrived, zone, call, on_reply, called_at)
 
+    def fail(self) -> None:
+        """Begin an outage."""
+        self.is_down = True
+
     def restore(self) -> None:
         """End an outage; totals were kept."""
         self.is_down = False
--- a/scale/hollow/discovery.py
+++ b/scale/hollow/discovery.py
@@ -15,20 +15,15 @@
 class Discovery:
     """Learns of changes with a delay and pushes them to all limiters; an outage holds them back."""
 
-    def __init__(
-        self,
-        clock: VirtualClock,
-        experiment: HollowExperiment,
-        deliver: Callable[[int, EndpointsChanged], None],
-    ) -> None:
-        """Hand each change to `deliver(limiter, change)`."""
+    def __init__(self, clock: VirtualClock, experiment: HollowExperiment) -> None:
+        """List no server yet, and push changes to nobody until `subscribe`."""
         self.endpoints: dict[bytes, Endpoint] = {}
         self.changes = 0  # number of changes pushed so far
         self.is_down = False
         self._clock = clock
         self._parameters = experiment.discovery
         self._limiter_count = experiment.limiters
-        self._deliver = deliver
+        self._deliver: Callable[[int, EndpointsChanged], None] | None = None
         self._rng = Random(f"{experiment.seed}:discovery")
         self._push_rng = np.random.default_rng([experiment.seed, 3])
         self._held_back: list[Endpoint] = []  # changes learnt during an outage
@@ -36,6 +31,10 @@
         # Number of the latest change that discovery has learnt, by endpoint id.
         self._newest: dict[bytes, int] = {}
 
+    def subscribe(self, deliver: Callable[[int, EndpointsChanged], None]) -> None:
+        """Hand each change to `deliver(limiter, change)`, for each limiter at its time."""
+        self._deliver = deliver
+
     def full_list(self) -> EndpointsChanged:
         """The whole list, as a limiter gets it when it starts."""
         return EndpointsChanged(tuple(self.endpoints.values()), is_full_list=True)
@@ -47,6 +46,10 @@
             due = self._clock.now + self._rng.uniform(*delay)
             self._clock.call_at(due, self._learn, endpoint, self._observed_count)
 
+    def fail(self) -> None:
+        """Begin an outage."""
+        self.is_down = True
+
     def restore(self) -> None:
         """End an outage: push what was held back."""
         self.is_down = False
@@ -72,6 +75,8 @@
                 self.endpoints.pop(endpoint.id, None)
             else:
                 self.endpoints[endpoint.id] = endpoint
+        if self._deliver is None:
+            return
         times = self._clock.now + self._push_rng.uniform(*self._parameters.push_delay, self._limiter_count)
         order = np.argsort(times, kind="stable")
         deliveries = zip(times[order].tolist(), order.tolist(), strict=True)
--- a/scale/hollow/faults.py
+++ b/scale/hollow/faults.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from scale.hollow.context import Context
+from scale.hollow.discovery import Discovery
 from scale.hollow.limiters import LimiterHost
 from scale.hollow.plan import (
     CounterOutage,
@@ -20,7 +21,9 @@
 class FaultInjector:
     """Schedules the experiment's faults and carries them out."""
 
-    def __init__(self, context: Context, host: LimiterHost, servers: ServerFleet) -> None:
+    def __init__(
+        self, context: Context, host: LimiterHost, servers: ServerFleet, discovery: Discovery
+    ) -> None:
         """Schedule nothing until `start`."""
         self._faults = context.experiment.faults
         self._clock = context.clock
@@ -28,6 +31,7 @@
         self._partitioned_regions = context.network.partitioned_regions
         self._host = host
         self._servers = servers
+        self._discovery = discovery
 
     def start(self) -> None:
         """Schedule all faults of the experiment."""
@@ -53,11 +57,11 @@
                 end = self._clock.now + fault.lasting
                 self._clock.call_at(end, self._partitioned_regions.discard, fault.region)
             case CounterOutage():
-                self._host.counter.is_down = True
+                self._host.counter.fail()
                 self._clock.call_at(self._clock.now + fault.lasting, self._host.counter.restore)
             case DiscoveryOutage():
-                self._host.discovery.is_down = True
-                self._clock.call_at(self._clock.now + fault.lasting, self._host.discovery.restore)
+                self._discovery.fail()
+                self._clock.call_at(self._clock.now + fault.lasting, self._discovery.restore)
 
     def _sample(self, count: int, share: float) -> list[int]:
         """Draw that share of the numbers below `count`."""
--- a/scale/hollow/limiters.py
+++ b/scale/hollow/limiters.py
@@ -128,13 +128,10 @@
 class LimiterHost:
     """Starts and kills limiters, hands them events and carries out their actions."""
 
-    clients: (
-        RejectionHandler  # set by the simulation, as clients send their requests to the limiters made here
-    )
-    attempts: AttemptDriver  # set by the simulation, as the servers report to the discovery made here
-
-    def __init__(self, context: Context, ledger: RequestLedger) -> None:
-        """Make the limiters, all down, and the network, counter and discovery that they talk to."""
+    def __init__(
+        self, context: Context, ledger: RequestLedger, discovery: Discovery, attempts: AttemptDriver
+    ) -> None:
+        """Make the limiters, all down, and the gossip network and the counter that they talk to."""
         experiment = context.experiment
         self._clock = context.clock
         self._rng = context.rng
@@ -144,20 +141,27 @@
         self._settings = limiter_settings(experiment)
         self.gossip_network = GossipNetwork(context.network, experiment, self._gossip_received)
         self.counter = SharedCounter(context.network, experiment.counter, experiment.seed)
-        self.discovery = Discovery(context.clock, experiment, self._endpoints_changed)
+        self._discovery = discovery
+        self._attempts = attempts
+        self._rejection_handler: RejectionHandler | None = None
+        discovery.subscribe(self._endpoints_changed)
         zone = context.network.topology.zone
         self.limiters = [
             Limiter(number, zone(number), context.clock, self._carry_out)
             for number in range(experiment.limiters)
         ]
 
+    def handle_rejections(self, handler: RejectionHandler) -> None:
+        """Hand rejections to the clients, which are made after the limiters."""
+        self._rejection_handler = handler
+
     def start(self, limiter: Limiter) -> None:
         """Start a limiter with the endpoint list and nothing else; nothing if it is up."""
         if limiter.is_up:
             return
         settings = replace(self._settings, limiter_index=limiter.number, zone=limiter.zone)
         limiter.start(PolicyEngine(settings, self._rng.getrandbits(63)))
-        limiter.feed(self.discovery.full_list())
+        limiter.feed(self._discovery.full_list())
 
     def kill(self, limiter: Limiter) -> None:
         """Kill a limiter: its requests and all its state are lost; nothing if it is down."""
@@ -167,7 +171,7 @@
         self._gossip_ages.discard(limiter.number)
         for request in lost_requests:
             for attempt in request.in_flight[:]:
-                self.attempts.release(attempt)
+                self._attempts.release(attempt)
             if request.outcome is None:
                 self._ledger.end(request, RequestOutcome.KILLED)
 
@@ -177,9 +181,10 @@
                 due = self._clock.now + action.delay
                 self._clock.call_at(due, self._timer_fired, limiter, limiter.incarnation, action.token)
             case SendAttempt():
-                self.attempts.send(limiter, action)
+                self._attempts.send(limiter, action)
             case RejectRequest():
-                self.clients.request_rejected(limiter, action.request_id)
+                assert self._rejection_handler is not None
+                self._rejection_handler.request_rejected(limiter, action.request_id)
             case FailRequest():
                 self._ledger.finish(limiter, action.request_id, RequestOutcome.FAILED)
             case IncrementCounter():
@@ -189,7 +194,7 @@
             case CancelAttempt():
                 request = limiter.requests.get(action.request_id)
                 if request is not None:
-                    self.attempts.cancel(request, action.attempt)
+                    self._attempts.cancel(request, action.attempt)
 
     def _timer_fired(self, limiter: Limiter, incarnation: int, token: int) -> None:
         if limiter.incarnation == incarnation:
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Protocol
 
-from limiter.model.events import ClientRequest, Event
+from limiter.model.events import ClientRequest, Event, Outcome
 from scale.hollow.context import Context
 from scale.hollow.quota import Quota
 from scale.hollow.server import Server, ServerJob
@@ -59,14 +60,19 @@
 
 
 class Attempt(ServerJob):
-    """A request sent to a server: `is_over` says that it ended there, `is_ended` that it ended here."""
+    """A request sent to a server: `is_over` if it ended there, `is_ended` if it ended at its limiter."""
 
-    __slots__ = ("is_ended", "limiter", "number", "request", "sent_at", "server")
+    __slots__ = ("_on_reply", "is_ended", "limiter", "number", "request", "sent_at", "server")
 
     def __init__(
-        self, request: Request, limiter: RequestOwner, server: Server[Attempt], sent_at: float
+        self,
+        request: Request,
+        limiter: RequestOwner,
+        server: Server,
+        sent_at: float,
+        on_reply: Callable[[Attempt, Outcome], None],
     ) -> None:
-        """Make the next attempt of the request."""
+        """Make the next attempt of the request; `on_reply` takes the server's response."""
         super().__init__(request.work)
         self.request = request
         self.number = request.attempt_count
@@ -74,6 +80,11 @@
         self.server = server
         self.sent_at = sent_at
         self.is_ended = False
+        self._on_reply = on_reply
+
+    def replied(self, outcome: Outcome) -> None:
+        """Take the server's response, which leaves the server now."""
+        self._on_reply(self, outcome)
 
 
 class RequestLedger:
--- a/scale/hollow/result_lines.py
+++ b/scale/hollow/result_lines.py
@@ -119,7 +119,7 @@
         **_counter_figures(simulation),
         **gossip,
         **_gossip_age_figures(simulation),
-        "list_changes": simulation.host.discovery.changes,
+        "list_changes": simulation.discovery.changes,
         "servers_fallen": sum(server.crashes for server in servers.values()),
     }
 
--- a/scale/hollow/server.py
+++ b/scale/hollow/server.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 import math
+from abc import ABC, abstractmethod
 from collections import deque
 from collections.abc import Callable
-from typing import Generic, TypeVar
+from dataclasses import dataclass
 
 from limiter.model.events import Endpoint, EndpointState, Outcome
 from scale.hollow.clock import VirtualClock
@@ -13,8 +14,8 @@
 from scale.hollow.slow_start import slow_start_capacity, tolerated_arrivals
 
 
-class ServerJob:
-    """A request at a server, from its sending to its end there."""
+class ServerJob(ABC):
+    """A request at a server, from its sending to its end there. The server alone writes its state."""
 
     __slots__ = ("is_over", "is_started", "work")
 
@@ -24,21 +25,39 @@
         self.is_started = False
         self.is_over = False
 
+    @abstractmethod
+    def replied(self, outcome: Outcome) -> None:
+        """Take the server's response, which leaves the server now."""
 
-Job = TypeVar("Job", bound=ServerJob)
 
+@dataclass(frozen=True, slots=True)
+class ServerModel:
+    """What all servers of an experiment have in common."""
+
+    parameters: ServerParameters
+    mean_work: float  # mean work of all requests, in ms of one core
 
-class Server(Generic[Job]):
-    """Cores and a queue before them; after a start it is cold for a while and then crashes if overloaded."""
 
-    # The fleet that the server belongs to sets both.
-    on_reply: Callable[[Job, Outcome], None]
-    on_crash: Callable[[Server[Job]], None]
+class Server:
+    """Cores and a queue before them; after a start it is cold for a while and then crashes if overloaded."""
 
     def __init__(
-        self, clock: VirtualClock, parameters: ServerParameters, number: int, zone: int, mean_work: float
+        self,
+        clock: VirtualClock,
+        model: ServerModel,
+        number: int,
+        zone: int,
+        on_crash: Callable[[Server], None],
     ) -> None:
-        """Start past the slow start; `mean_work` is the mean of all requests' work, in ms of one core."""
+        """Run since long ago, so that the slow start is over.
+
+        Args:
+            clock: of the simulation.
+            model: what the server has in common with others.
+            number: of the server within the fleet; its endpoint id follows from it.
+            zone: that the server runs in.
+            on_crash: called when the server crashes of overload.
+        """
         self.id = number.to_bytes(6, "big")
         self.zone = zone
         self.started_at = -math.inf  # ms; start of the process
@@ -46,14 +65,15 @@
         self.is_draining = False
         self.crashes = 0
         self._clock = clock
-        self._parameters = parameters
-        self._mean_work = mean_work
+        self._parameters = model.parameters
+        self._mean_work = model.mean_work
+        self._on_crash = on_crash
         self._is_machine_lost = False  # if so, packets to it get no reply, not even a reset
         self._running_count = 0
         # Queued jobs; one that was cancelled stays in the queue until its turn comes.
-        self._queue: deque[Job] = deque()
+        self._queue: deque[ServerJob] = deque()
         self._queued_count = 0  # number of queued jobs that were not cancelled
-        self._jobs: dict[Job, None] = {}  # running and queued jobs, in order of arrival
+        self._jobs: dict[ServerJob, None] = {}  # running and queued jobs, in order of arrival
         # Times of arrivals within the overload window during slow start, in ms.
         self._recent_arrivals: deque[float] = deque()
 
@@ -67,23 +87,23 @@
         age = self._clock.now - self.started_at
         return slow_start_capacity(age, parameters.slow_start_duration, parameters.slow_start_capacity)
 
-    def arrive(self, job: Job) -> None:
+    def arrive(self, job: ServerJob) -> None:
         """Run, queue or reject a job; one that arrives at a process that is down fails to connect."""
         if self._is_machine_lost or job.is_over:
             return
         if not self.is_up:
-            self.on_reply(job, Outcome.CONNECT_FAILED)
+            _end(job, Outcome.CONNECT_FAILED)
         elif self.is_draining:
-            self.on_reply(job, Outcome.REJECTED)
+            _end(job, Outcome.REJECTED)
         elif self._is_in_slow_start() and self._is_overloaded():
             self.crashes += 1
             self.stop()
-            self.on_crash(self)
-            self.on_reply(job, Outcome.CONNECT_FAILED)
+            self._on_crash(self)
+            _end(job, Outcome.CONNECT_FAILED)
         else:
             self._accept(job)
 
-    def leave(self, job: Job) -> None:
+    def leave(self, job: ServerJob) -> None:
         """End a job, whether done or cancelled: its core or place in the queue is free at once."""
         if job.is_over:
             return
@@ -107,9 +127,14 @@
         self._queued_count = 0
         self._queue.clear()
         for job in jobs:
-            job.is_over = True
-            if not is_machine_lost:
-                self.on_reply(job, Outcome.RESET)
+            if is_machine_lost:
+                job.is_over = True
+            else:
+                _end(job, Outcome.RESET)
+
+    def drain(self) -> None:
+        """Take no more requests; those that are running or queued go on."""
+        self.is_draining = True
 
     def start(self) -> None:
         """Start the process anew, in slow start."""
@@ -136,7 +161,7 @@
         allowed = rate_factor * parameters.slow_start_window * parameters.cores / self._mean_work
         return len(self._recent_arrivals) > tolerated_arrivals(allowed)
 
-    def _accept(self, job: Job) -> None:
+    def _accept(self, job: ServerJob) -> None:
         if self._running_count < self._parameters.cores:
             self._jobs[job] = None
             self._run(job)
@@ -145,9 +170,9 @@
             self._queue.append(job)
             self._queued_count += 1
         else:
-            self.on_reply(job, Outcome.REJECTED)
+            _end(job, Outcome.REJECTED)
 
-    def _run(self, job: Job) -> None:
+    def _run(self, job: ServerJob) -> None:
         self._running_count += 1
         job.is_started = True
         self._clock.call_at(self._clock.now + job.work / self.capacity(), self._finish, job)
@@ -159,7 +184,13 @@
                 self._queued_count -= 1
                 self._run(job)
 
-    def _finish(self, job: Job) -> None:
+    def _finish(self, job: ServerJob) -> None:
         if not job.is_over:
             self.leave(job)
-            self.on_reply(job, Outcome.OK)
+            job.replied(Outcome.OK)
+
+
+def _end(job: ServerJob, outcome: Outcome) -> None:
+    """End a job that is not running or queued any more."""
+    job.is_over = True
+    job.replied(outcome)
--- a/scale/hollow/simulation.py
+++ b/scale/hollow/simulation.py
@@ -6,6 +6,7 @@
 from scale.hollow.clients import Clients
 from scale.hollow.context import Context
 from scale.hollow.customers import draw_customers
+from scale.hollow.discovery import Discovery
 from scale.hollow.faults import FaultInjector
 from scale.hollow.limiters import LimiterHost
 from scale.hollow.plan import HollowExperiment
@@ -29,18 +30,17 @@
         self.tally = context.tally
         self.gossip_ages = context.gossip_ages
         self.ledger = RequestLedger(context)
-        self.host = LimiterHost(context, self.ledger)
-        self.servers = ServerFleet(context, self.host.discovery)
+        self.discovery = Discovery(self.clock, experiment)
+        self.servers = ServerFleet(context, self.discovery)
         attempts = AttemptDriver(context, self.servers.servers, self.ledger)
+        self.host = LimiterHost(context, self.ledger, self.discovery, attempts)
         self.clients = Clients(context, arrivals, self.host, attempts, self.ledger)
-        self.servers.on_reply = attempts.server_replied
-        self.host.attempts = attempts
-        self.host.clients = self.clients
+        self.host.handle_rejections(self.clients)
         for limiter in self.host.limiters:
             start_at = context.rng.uniform(*experiment.start_delay)
             self.clock.call_at(start_at, self.host.start, limiter)
         self.clients.start()
-        FaultInjector(context, self.host, self.servers).start()
+        FaultInjector(context, self.host, self.servers, self.discovery).start()
 
     def run(self, until: float) -> None:
         """Let everything happen up to that time, in ms."""
--- a/scale/process/counter.py
+++ b/scale/process/counter.py
@@ -96,7 +96,7 @@
         self._reader = hiredis.Reader()
 
     def data_received(self, data: bytes) -> None:
-        self.traffic.bytes_out += len(data)
+        self.traffic.received(data)
         self._reader.feed(data)
         while (words := self._reader.gets()) is not False:
             self.write(self._counter.call(words))
--- a/scale/process/gossip_peers.py
+++ b/scale/process/gossip_peers.py
@@ -80,13 +80,13 @@
         except BlockingIOError:
             return
         self.sent += 1
-        self.traffic.bytes_in += len(body)
+        self.traffic.sent(body)
 
     def _read(self) -> None:
         try:
             while body := self._receiver.recv(DATAGRAM_BYTES):
                 self.received += 1
-                self.traffic.bytes_out += len(body)
+                self.traffic.received(body)
         except BlockingIOError:
             pass
 
--- a/scale/process/traffic.py
+++ b/scale/process/traffic.py
@@ -24,6 +24,18 @@
         self.bytes_out = 0
         self.connections = 0
 
+    def connection_opened(self) -> None:
+        """Count a connection of the limiter."""
+        self.connections += 1
+
+    def sent(self, data: bytes | memoryview) -> None:
+        """Count bytes that a peer sends to the limiter."""
+        self.bytes_in += len(data)
+
+    def received(self, data: bytes) -> None:
+        """Count bytes that a peer receives from the limiter."""
+        self.bytes_out += len(data)
+
 
 class CountedProtocol(asyncio.Protocol):
     """One connection whose bytes are counted."""
@@ -36,7 +48,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection as open, and keep its transport."""
         self.transport = cast(asyncio.Transport, transport)
-        self.traffic.connections += 1
+        self.traffic.connection_opened()
 
     def connection_lost(self, _error: Exception | None) -> None:
         """Drop the transport, so that later writes do nothing."""
@@ -45,7 +57,7 @@
     def write(self, data: bytes | memoryview) -> None:
         """Write to the limiter, unless the connection is closed."""
         if self.transport is not None:
-            self.traffic.bytes_in += len(data)
+            self.traffic.sent(data)
             self.transport.write(data)
 
 
@@ -70,7 +82,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Hand on each request that is complete with its body."""
-        self.traffic.bytes_out += len(data)
+        self.traffic.received(data)
         self._received += data
         while (head_length := self._received.find(HEAD_END)) >= 0:
             head = self._received[:head_length]
--- a/tests/scale/test_hollow_simulated_peers.py
+++ b/tests/scale/test_hollow_simulated_peers.py
@@ -15,7 +15,7 @@
 from scale.hollow.network import GossipIntake, Network
 from scale.hollow.plan import CounterParameters, NetworkParameters, PlanParameters, ServerParameters
 from scale.hollow.quota import Quota
-from scale.hollow.server import Server, ServerJob
+from scale.hollow.server import Server, ServerJob, ServerModel
 from tests.support.hollow_experiment import hollow_experiment
 
 COUNTER_NAME = 7
@@ -40,6 +40,19 @@
         self.replies.append((outcome, total, self.clock.now))
 
 
+class RecordedJob(ServerJob):
+    """A request of mean work whose outcome is recorded."""
+
+    def __init__(self, outcomes: list[Outcome]) -> None:
+        """Add the outcome to the list."""
+        super().__init__(work=100.0)
+        self._outcomes = outcomes
+
+    def replied(self, outcome: Outcome) -> None:
+        """Record the outcome."""
+        self._outcomes.append(outcome)
+
+
 class ServerBench:
     """A server that works 100 ms of one core on the mean request, and the outcomes that it reported."""
 
@@ -47,25 +60,18 @@
         """Set keys of the experiment's table `servers`."""
         self.clock = VirtualClock()
         figures = ServerParameters(per_limiter=1.0, **parameters)
-        self.server = Server[ServerJob](self.clock, figures, number=0, zone=0, mean_work=100.0)
-        self.server.started_at = started_at
-        self.server.on_reply = self._replied
-        self.server.on_crash = self._crashed
         self.outcomes: list[Outcome] = []
-        self.crashed: list[Server[ServerJob]] = []
+        self.crashed: list[Server] = []
+        model = ServerModel(figures, mean_work=100.0)
+        self.server = Server(self.clock, model, number=0, zone=0, on_crash=self.crashed.append)
+        self.server.started_at = started_at
 
     def send(self) -> ServerJob:
         """A request of mean work arrives."""
-        job = ServerJob(100.0)
+        job = RecordedJob(self.outcomes)
         self.server.arrive(job)
         return job
 
-    def _replied(self, _job: ServerJob, outcome: Outcome) -> None:
-        self.outcomes.append(outcome)
-
-    def _crashed(self, server: Server[ServerJob]) -> None:
-        self.crashed.append(server)
-
 
 def test_a_fan_out_is_delivered_in_order_with_all_other_callbacks() -> None:
     clock = VirtualClock()
@@ -113,9 +119,9 @@
     bench.clock.run(100.0)
     assert bench.replies == [(Outcome.TIMEOUT, 0.0, 30.0)]
     assert bench.counter.totals[COUNTER_NAME].value == 1.0  # added all the same
-    bench.counter.is_down = True
+    bench.counter.fail()
     bench.add(time_to_live=9999.0)
-    bench.counter.is_down = False
+    bench.counter.restore()
     bench.network.partitioned_regions.add(1)
     bench.add(time_to_live=9999.0, zone=1)
     bench.clock.run(200.0)
@@ -199,7 +205,8 @@
     def deliver(limiter: int, change: EndpointsChanged) -> None:
         pushed.append((limiter, change.endpoints[0].state))
 
-    discovery = Discovery(clock, hollow_experiment(limiters=3), deliver)
+    discovery = Discovery(clock, hollow_experiment(limiters=3))
+    discovery.subscribe(deliver)
     gone = Endpoint(b"a", EndpointState.GONE)
     discovery.observe([gone], (500.0, 500.0))
     discovery.observe([Endpoint(b"a", EndpointState.READY, started_at=1.0)], (100.0, 100.0))
@@ -208,7 +215,7 @@
     clock.run(1000.0)
     assert sorted(pushed) == [(limiter, EndpointState.READY) for limiter in range(3)]
     assert b"a" in discovery.endpoints
-    discovery.is_down = True
+    discovery.fail()
     discovery.observe([gone], (0.0, 0.0))
     clock.run(2000.0)
     assert len(pushed) == 3
