--- a/scale/process/fleet_load.py
+++ b/scale/process/fleet_load.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from limiter.policy.usage_gossip import INTAKE_SHARE, MIN_INTERVAL_MS
-from limiter.transport.discovery.discovery_watch import PollPacing
+from limiter.transport.discovery.poll_pacing import PollPacing
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,8 @@
 
     A change of the list ends all watches. A watch without a change ends after the time that its pacing gives.
     """
-    watch_s = PollPacing.of(fleet.limiters, fleet.discovery_is_pushed).wait / 1000
+    pacing = PollPacing.for_fleet(fleet.limiters, is_pushed=fleet.discovery_is_pushed)
+    watch_s = pacing.long_poll_ms / 1000
     peers = fleet.limiters - 1
     interval_s = max(MIN_INTERVAL_MS / 1000, peers / (INTAKE_SHARE * fleet.gossip_intake_per_s))
     return FleetLoad(
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -2,12 +2,13 @@
 
 from __future__ import annotations
 
-import asyncio
 import time
 
 import pytest
 
-from limiter.transport.discovery.discovery_watch import DiscoveryWatch, NameNumbering, PollPacing, members
+from limiter.transport.discovery.discovery_watch import DiscoveryWatch, DiscoveryWatchOptions
+from limiter.transport.discovery.endpoint_list import NameNumbering, parse_endpoint_list
+from limiter.transport.discovery.poll_pacing import PollPacing
 from tests.support.client import HEALTH_CHECK, http_request
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.harness import HarnessOptions, LimiterHarness, limiter_with, wait_for_version
@@ -61,7 +62,7 @@
     names = NameNumbering(["a", "b"], ["m"])
     entry = {"instanceId": "s", "hostPort": "127.0.0.1:1", "lifecycle": "active"}
     instances = [{**entry, "zone": zone, "machineType": zone} for zone in ("a", "x", "y", "x", "b")]
-    listed = members({"generation": 1, "reset": True, "instances": instances}, names)
+    listed = parse_endpoint_list({"generation": 1, "reset": True, "instances": instances}, names)
     zones = [endpoint.zone for endpoint, _ in listed.entries]
     assert (zones[0], zones[4]) == (0, 1)
     assert zones[1] == zones[3] != zones[2]
@@ -146,12 +147,14 @@
         self.discovery = discovery
         self.changes: list[tuple[int, bool, bool]] = []
         self.failures: list[bool] = []
-        self.watch = DiscoveryWatch(
-            asyncio.get_running_loop(),
+        options = DiscoveryWatchOptions(
             ("127.0.0.1", discovery.port),
             NameNumbering([], []),
             250.0,
-            PollPacing.of(200, pushed=False),
+            PollPacing.for_fleet(200, is_pushed=False),
+        )
+        self.watch = DiscoveryWatch(
+            options,
             lambda entries, is_full, is_known: self.changes.append((len(entries), is_full, is_known)),
             self.failures.append,
         )
@@ -174,10 +177,10 @@
     recorded = RecordedWatch(discovery)
     recorded.watch.start()
     await recorded.wait_for_failure(1)
-    recorded.watch.call()
+    recorded.watch.allow_next_poll()
     await recorded.wait_for_failure(2)
     discovery.status = 200
-    recorded.watch.call()
+    recorded.watch.allow_next_poll()
     await wait_until(lambda: recorded.changes)
     recorded.watch.close()
     discovery.server.close()
@@ -211,18 +214,18 @@
 
 
 def test_calls_to_a_shared_discovery_wait_longer_the_more_limiters_there_are() -> None:
-    pacings = [PollPacing.of(limiters, pushed=False) for limiters in (1, 4, 40, 400)]
-    assert [pacing.wait for pacing in pacings] == [4000, 4000, 10000, 20000]
+    pacings = [PollPacing.for_fleet(limiters, is_pushed=False) for limiters in (1, 4, 40, 400)]
+    assert [pacing.long_poll_ms for pacing in pacings] == [4000, 4000, 10000, 20000]
     # A limiter is expected to know a change after 2 s.
     assert {pacing.grace_seconds for pacing in pacings} == {1.5}
 
 
 @pytest.mark.parametrize("limiters", [1, 200])
 def test_agent_that_stops_responding_is_noticed_before_requests_have_to_stop(limiters: int) -> None:
-    pacing = PollPacing.of(limiters, pushed=True)
+    pacing = PollPacing.for_fleet(limiters, is_pushed=True)
     assert pacing.grace_seconds + 1.2 * pacing.max_backoff_seconds < 0.25
     # This is for an agent that stops to respond during a call.
-    assert pacing.wait / 1000 + pacing.grace_seconds < 6.0
+    assert pacing.long_poll_ms / 1000 + pacing.grace_seconds < 6.0
 
 
 @pytest.mark.parametrize(
--- a/tests/transport/test_paused_process.py
+++ b/tests/transport/test_paused_process.py
@@ -20,7 +20,7 @@
 from limiter.transport.driver.proxied_request import ProxiedRequest
 from limiter.transport.servers.server_connection import ServerConnection
 from limiter.transport.servers.server_pool import SETTLE_SECONDS
-from limiter.transport.sockets import hung_up
+from limiter.transport.sockets import has_peer_hung_up
 from tests.support.client import HEALTH_CHECK, Connection, http_request
 from tests.support.fake_server import FakeServer, respond_with
 from tests.support.harness import LimiterHarness, limiter_with
@@ -174,7 +174,7 @@
 
         monkeypatch.setattr(ServerConnection, "connection_made", disconnect_client)
         leaving.send(http_request("order", request_id="disconnected"))
-        await wait_until(lambda: proxy.pool.connections, "the connection is up")
+        await wait_until(lambda: proxy.pool.connections.open, "the connection is up")
         staying.send(http_request("order", request_id="mark"))
         assert (await staying.response()).status == 200
         assert request_ids(server.received) == ["mark"]
@@ -233,12 +233,12 @@
     local, remote = socket.socketpair()
     transport, _ = await asyncio.get_running_loop().connect_accepted_socket(asyncio.Protocol, local)
     transport.pause_reading()
-    assert not hung_up(transport)
+    assert not has_peer_hung_up(transport)
     remote.send(b"GET")
-    assert not hung_up(transport)
+    assert not has_peer_hung_up(transport)
     assert local.recv(8) == b"GET"
     remote.shutdown(socket.SHUT_WR)
-    assert hung_up(transport)
+    assert has_peer_hung_up(transport)
     transport.abort()
     remote.close()
 
