--- a/tests/scale/test_hollow_simulated_peers.py
+++ b/tests/scale/test_hollow_simulated_peers.py
@@ -18,7 +18,7 @@
 from scale.hollow.server import Server, ServerJob, ServerModel
 from tests.support.hollow_experiment import hollow_experiment
 
-COUNTER_NAME = 7
+COUNTER_KEY = 7
 WARM = -math.inf  # start of a server that is past its slow start
 
 
@@ -33,8 +33,8 @@
         self.replies: list[tuple[Outcome, float, float]] = []  # outcome, total, time
 
     def add(self, time_to_live: float, zone: int = 0) -> None:
-        """Add 1 to the name."""
-        self.counter.add(zone, IncrementCounter(COUNTER_NAME, 1.0, time_to_live), self._replied)
+        """Add 1 to the counter's key."""
+        self.counter.add(zone, IncrementCounter(COUNTER_KEY, 1.0, time_to_live), self._replied)
 
     def _replied(self, outcome: Outcome, total: float) -> None:
         self.replies.append((outcome, total, self.clock.now))
@@ -107,7 +107,7 @@
     bench.add(time_to_live=100.0)
     bench.clock.run(90.0)
     assert bench.replies[-1][:2] == (Outcome.OK, len(totals) + 1.0)
-    bench.clock.run(200.0)  # the name expires
+    bench.clock.run(200.0)  # the key expires
     bench.add(time_to_live=100.0)
     bench.clock.run(300.0)
     assert bench.replies[-1][:2] == (Outcome.OK, 1.0)
@@ -118,7 +118,7 @@
     bench.add(time_to_live=9999.0)
     bench.clock.run(100.0)
     assert bench.replies == [(Outcome.TIMEOUT, 0.0, 30.0)]
-    assert bench.counter.totals[COUNTER_NAME].value == 1.0  # added all the same
+    assert bench.counter.totals[COUNTER_KEY].value == 1.0  # added all the same
     bench.counter.fail()
     bench.add(time_to_live=9999.0)
     bench.counter.restore()
@@ -126,7 +126,7 @@
     bench.add(time_to_live=9999.0, zone=1)
     bench.clock.run(200.0)
     assert bench.replies[1:] == [(Outcome.TIMEOUT, 0.0, 130.0)] * 2
-    assert bench.counter.totals[COUNTER_NAME].value == 1.0
+    assert bench.counter.totals[COUNTER_KEY].value == 1.0
 
 
 def test_a_server_runs_a_job_on_each_core_queues_some_and_rejects_the_rest() -> None:
--- a/tests/scale/test_process_emulated_peers.py
+++ b/tests/scale/test_process_emulated_peers.py
@@ -176,85 +176,70 @@
     assert counter.totals[b"a"] == counter.added_calls == 10 - counter.busy_calls
 
 
-def test_the_counter_replies_to_calls_in_their_order() -> None:
-    async def scenario() -> list[Any]:
-        counter = Counter(0)
-        replies = hiredis.Reader()
-        received: list[Any] = []
-        async with connected(await counter.start()) as (reader, writer):
-            for words in (("CNT.ADD", "a", "1", "9"), ("PING",), ("CNT.ADD", "b", "2.5", "9")):
-                writer.write(hiredis.pack_command(words))  # type: ignore  # its stub takes one word
-            while len(received) < 3:
-                replies.feed(await reader.read(100))
-                while (reply := replies.gets()) is not False:
-                    received.append(reply)
-        counter.close()
-        assert counter.traffic.bytes_in == len(b"$1\r\n1\r\n+PONG\r\n$3\r\n2.5\r\n")
-        return received
-
-    assert asyncio.run(scenario()) == [b"1", b"PONG", b"2.5"]
-
-
-def test_discovery_responds_to_calls_and_watches() -> None:
-    async def scenario() -> None:
-        with closing(Discovery(EndpointList(3, ["127.0.0.1:1"]))) as discovery:
-            full_list, no_change, malformed = await exchange(
-                await discovery.start(),
-                catalog_request(),
-                catalog_request(b"?since=1&timeout_ms=1"),
-                catalog_request(b"?since=x&timeout_ms=1"),
-            )
-            assert full_list[0] == 200
-            assert len(json.loads(full_list[1])["instances"]) == 3
-            assert no_change[0] == 200
-            assert json.loads(no_change[1]) == {"generation": 1, "reset": False, "instances": []}
-            assert malformed[0] == 400
-            assert (discovery.full_lists, discovery.malformed_calls, discovery.calls) == (1, 1, 3)
-
-    asyncio.run(scenario())
-
-
-def test_a_watch_waits_for_a_change() -> None:
-    async def scenario() -> None:
-        with closing(Discovery(EndpointList(3, ["127.0.0.1:1"]))) as discovery:
-            address = await discovery.start()
-            watch = asyncio.create_task(exchange(address, catalog_request(b"?since=1&timeout_ms=60000")))
-            await wait_until(lambda: discovery.watches, "a watch")
-            discovery.change()
-            ((status, body),) = await watch
-            assert status == 200
-            assert [entry["lifecycle"] for entry in json.loads(body)["instances"]] == ["active"]
-            await exchange(address, catalog_request(b"?since=2&timeout_ms=1"))
-            assert discovery.acknowledged_version == 2
-            assert (discovery.full_lists, discovery.malformed_calls, discovery.calls) == (0, 0, 2)
-
-    asyncio.run(scenario())
-
-
-def test_a_server_responds_to_each_request_once() -> None:
-    async def scenario() -> None:
-        with closing(Servers(work_ms=1.0)) as servers:
-            await servers.start(2)
-            served, without_id = await exchange(
-                servers.addresses[1], order_request(b"0a"), b"GET /ping HTTP/1.1\r\n\r\n"
-            )
-            assert (served[0], without_id[0]) == (200, 404)
-            assert (servers.response_count, servers.without_id) == (1, 1)
-            assert list(servers.service_times) == [b"0a"]
-
-    asyncio.run(scenario())
-
-
-def test_a_server_does_not_respond_to_an_incomplete_request() -> None:
-    async def scenario() -> None:
-        with closing(Servers(work_ms=1.0)) as servers:
-            await servers.start(1)
-            async with connected(servers.addresses[0]) as (_, writer):
-                writer.write(order_request(b"0a")[:-1])
-                await writer.drain()
-                await exchange(servers.addresses[0], order_request(b"0b"))
-                assert servers.response_count == 1
-                assert set(servers.service_times) == {b"0b"}
-                assert servers.traffic.connections == 2
-
-    asyncio.run(scenario())
+async def test_the_counter_replies_to_calls_in_their_order() -> None:
+    counter = Counter(0)
+    replies = hiredis.Reader()
+    received: list[Any] = []
+    async with connected(await counter.start()) as (reader, writer):
+        for words in (("CNT.ADD", "a", "1", "9"), ("PING",), ("CNT.ADD", "b", "2.5", "9")):
+            writer.write(hiredis.pack_command(words))  # type: ignore  # its stub takes one word
+        while len(received) < 3:
+            replies.feed(await reader.read(100))
+            while (reply := replies.gets()) is not False:
+                received.append(reply)
+    counter.close()
+    assert counter.traffic.bytes_in == len(b"$1\r\n1\r\n+PONG\r\n$3\r\n2.5\r\n")
+    assert received == [b"1", b"PONG", b"2.5"]
+
+
+async def test_discovery_responds_to_calls_and_watches() -> None:
+    with closing(Discovery(EndpointList(3, ["127.0.0.1:1"]))) as discovery:
+        full_list, no_change, malformed = await exchange(
+            await discovery.start(),
+            catalog_request(),
+            catalog_request(b"?since=1&timeout_ms=1"),
+            catalog_request(b"?since=x&timeout_ms=1"),
+        )
+        assert full_list[0] == 200
+        assert len(json.loads(full_list[1])["instances"]) == 3
+        assert no_change[0] == 200
+        assert json.loads(no_change[1]) == {"generation": 1, "reset": False, "instances": []}
+        assert malformed[0] == 400
+        assert (discovery.full_lists, discovery.malformed_calls, discovery.calls) == (1, 1, 3)
+
+
+async def test_a_watch_waits_for_a_change() -> None:
+    with closing(Discovery(EndpointList(3, ["127.0.0.1:1"]))) as discovery:
+        address = await discovery.start()
+        watch = asyncio.create_task(exchange(address, catalog_request(b"?since=1&timeout_ms=60000")))
+        await wait_until(lambda: discovery.watches, "a watch")
+        discovery.change()
+        ((status, body),) = await watch
+        assert status == 200
+        assert [entry["lifecycle"] for entry in json.loads(body)["instances"]] == ["active"]
+        await exchange(address, catalog_request(b"?since=2&timeout_ms=1"))
+        assert discovery.acknowledged_version == 2
+        assert (discovery.full_lists, discovery.malformed_calls, discovery.calls) == (0, 0, 2)
+
+
+async def test_a_server_responds_to_each_request_once() -> None:
+    with closing(Servers(work_ms=1.0)) as servers:
+        await servers.start(2)
+        served, without_id = await exchange(
+            servers.addresses[1], order_request(b"0a"), b"GET /ping HTTP/1.1\r\n\r\n"
+        )
+        assert (served[0], without_id[0]) == (200, 404)
+        assert (servers.response_count, servers.without_id) == (1, 1)
+        assert list(servers.service_times) == [b"0a"]
+
+
+async def test_a_server_does_not_respond_to_an_incomplete_request() -> None:
+    with closing(Servers(work_ms=1.0)) as servers:
+        await servers.start(1)
+        async with connected(servers.addresses[0]) as (_, writer):
+            writer.write(order_request(b"0a")[:-1])
+            await writer.drain()
+            await exchange(servers.addresses[0], order_request(b"0b"))
+            assert servers.response_count == 1
+            assert set(servers.service_times) == {b"0b"}
+            assert servers.traffic.connections == 2
--- a/tests/support/hollow_experiment.py
+++ b/tests/support/hollow_experiment.py
@@ -1,18 +1,20 @@
-"""A small hollow experiment for tests."""
+"""A small hollow experiment for tests of `scale.hollow`."""
 
 from __future__ import annotations
 
-from typing import Any
-
 import msgspec
 
 from scale.hollow.plan import HollowExperiment
 
 
-def hollow_experiment(**changes: Any) -> HollowExperiment:
-    """Eight limiters for eight seconds; `changes` replace top-level keys of the file."""
+def hollow_experiment(**changes: object) -> HollowExperiment:
+    """Make an experiment of eight limiters and eight seconds.
+
+    Args:
+        changes: values of top-level keys of the experiment's file, in place of those here.
+    """
     request_class = {"share": 0.5, "work": 50.0, "aim": 600.0, "deadline": 1500.0}
-    data: dict[str, Any] = {
+    data: dict[str, object] = {
         "kind": "hollow",
         "name": "test",
         "limiters": 8,
