--- a/scale/hollow/clients.py
+++ b/scale/hollow/clients.py
@@ -122,8 +122,8 @@
             return limiter
         members = range(customer.limiter_set_start, customer.limiter_set_start + customer.limiter_set_size)
         candidates = [limiters[member % self._limiter_count] for member in members]
-        up = [candidate for candidate in candidates if candidate.is_up]
-        return self._rng.choice(up) if up else limiter
+        available = [candidate for candidate in candidates if candidate.is_up]
+        return self._rng.choice(available) if available else limiter
 
     def _schedule_retry(self, limiter: Limiter, request: Request) -> None:
         rejected = request.event
--- a/scale/hollow/faults.py
+++ b/scale/hollow/faults.py
@@ -43,13 +43,13 @@
             case RestartLimiters():
                 self._restart_limiters(fault)
             case RestartServers():
-                up = self._servers.up()
-                chosen = [up[index] for index in self._sample(len(up), fault.share)]
+                running = self._servers.running()
+                chosen = [running[index] for index in self._sample(len(running), fault.share)]
                 self._servers.stop(chosen, fault.down, is_machine_lost=False)
             case DrainServers():
-                up = self._servers.up()
-                for index in self._sample(len(up), fault.share):
-                    self._servers.drain(up[index], fault.drain)
+                running = self._servers.running()
+                for index in self._sample(len(running), fault.share):
+                    self._servers.drain(running[index], fault.drain)
             case LoseZone():
                 self._lose_zone(fault)
             case CutRegions():
@@ -78,7 +78,7 @@
 
     def _lose_zone(self, fault: LoseZone) -> None:
         if fault.servers:
-            in_zone = [server for server in self._servers.up() if server.zone == fault.zone]
+            in_zone = [server for server in self._servers.running() if server.zone == fault.zone]
             self._servers.stop(in_zone, fault.lasting, is_machine_lost=True)
         if not fault.limiters:
             return
--- a/scale/hollow/server.py
+++ b/scale/hollow/server.py
@@ -51,12 +51,7 @@
     ) -> None:
         """Run since long ago, so that the slow start is over.
 
-        Args:
-            clock: of the simulation.
-            model: what the server has in common with others.
-            number: of the server within the fleet; its endpoint id follows from it.
-            zone: that the server runs in.
-            on_crash: called when the server crashes of overload.
+        The endpoint id follows from `number`; `on_crash` is called when the server crashes of overload.
         """
         self.id = number.to_bytes(6, "big")
         self.zone = zone
--- a/scale/hollow/servers.py
+++ b/scale/hollow/servers.py
@@ -32,7 +32,7 @@
             server = self._add()
             discovery.endpoints[server.id] = server.endpoint(EndpointState.READY)
 
-    def up(self) -> list[Server]:
+    def running(self) -> list[Server]:
         """Servers whose process runs, those that drain too."""
         return [server for server in self.servers.values() if server.is_up]
 
--- a/tests/policy/test_discovery_backoff.py
+++ b/tests/policy/test_discovery_backoff.py
@@ -26,7 +26,7 @@
     ready_endpoints,
     settings,
 )
-from tests.support.simulated_discovery import OUTAGE_MS, POLLS_ANSWERED_PER_SECOND, DiscoveryFleet
+from tests.support.simulated_discovery import OUTAGE_MS, POLL_RESPONSES_PER_SECOND, DiscoveryFleet
 
 CHANGE_DEADLINE_MS = 6000.0  # after which a change must be known, once discovery has it and can be reached
 START_POLLS_END_MS = 1300.0  # by when each limiter has made its first polls, before it backs off
@@ -55,16 +55,16 @@
     fleet = DiscoveryFleet(limiters, running)
     fleet.run_until(OUTAGE_MS + CHANGE_DEADLINE_MS)
     assert not fleet.outdated
-    assert len(fleet.answered) < running or running <= 20  # most of a large fleet know it from peers
+    assert len(fleet.responded_to) < running or running <= 20  # most of a large fleet know it from peers
 
 
 def test_a_fleet_of_the_target_size_knows_a_change_soon_after_discovery_answers_one() -> None:
     fleet = DiscoveryFleet(7200, 7200, outage=START_POLLS_END_MS)
     fleet.run_until(3500.0)
     assert len(fleet.outdated) <= 0.001 * 7200  # one message in twenty is lost, but each answer is reported
-    assert 3 < polls_in_backoff(fleet) < 2 * POLLS_ANSWERED_PER_SECOND * 2.2
+    assert 3 < polls_in_backoff(fleet) < 2 * POLL_RESPONSES_PER_SECOND * 2.2
     # What a receiver takes in beyond the usage messages:
-    assert fleet.broadcasts < 2 * POLLS_ANSWERED_PER_SECOND * 3.5 + 16
+    assert fleet.broadcasts < 2 * POLL_RESPONSES_PER_SECOND * 3.5 + 16
 
 
 @pytest.mark.parametrize("limiters", [40, 200])
@@ -74,7 +74,7 @@
     fleet.run_until(OUTAGE_MS)
     assert 2 <= polls_in_backoff(fleet) / 1.7 <= 8
     fleet.run_until(OUTAGE_MS + 1000 * limiters / 1.5)
-    assert len(fleet.answered) > 0.9 * limiters  # each gets its slot
+    assert len(fleet.responded_to) > 0.9 * limiters  # each gets its slot
 
 
 @pytest.fixture
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -26,7 +26,7 @@
 # Length of the time, from the start, in which discovery rejects every poll.
 OUTAGE_MS = 3000.0
 # Polls that discovery responds to after the outage; it rejects those beyond.
-POLLS_ANSWERED_PER_SECOND = 8.0
+POLL_RESPONSES_PER_SECOND = 8.0
 # Share of the datagrams that do not arrive.
 MESSAGE_LOSS = 0.05
 # Time from a poll to its reply.
@@ -56,7 +56,7 @@
         self.poll_times: list[float] = []
         self.broadcasts = 0
         self.outdated = set(range(running))  # limiters that still send to the removed server
-        self.answered: set[int] = set()  # limiters that discovery has responded to
+        self.responded_to: set[int] = set()  # limiters that discovery has responded to
         self._rng = Random(limiters)
         self._loss = loss
         self._outage = outage
@@ -102,12 +102,12 @@
         self._clock.run(end)
 
     def _reply_to_poll(self, limiter: int) -> None:
-        is_overloaded = self.now < self._last_response_at + 1000 / POLLS_ANSWERED_PER_SECOND
+        is_overloaded = self.now < self._last_response_at + 1000 / POLL_RESPONSES_PER_SECOND
         if self.now < self._outage or is_overloaded:
             self.feed(limiter, DiscoveryPollFailed())
             return
         self._last_response_at = self.now
-        self.answered.add(limiter)
+        self.responded_to.add(limiter)
         removal = endpoint(REMOVED, EndpointState.DRAINING)
         self.feed(limiter, EndpointsChanged((removal,), is_full_list=False))
 
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -72,15 +72,10 @@
     def __init__(self, limiters: int, servers: int, load: float, seed: int, burst: LoadBurst) -> None:
         """Start with servers past their slow start, known to all limiters.
 
-        Args:
-            limiters: number of limiters.
-            servers: number of servers.
-            load: rate of first requests, as a share of all servers' capacity.
-            seed: of everything that is drawn.
-            burst: time of a higher rate.
+        The rate of first requests, but for the burst, is the share `load` of all servers' capacity.
         """
         self.servers: dict[bytes, SimulatedServer] = {}
-        # Time, in ms, by which limiters learn late of a changed list of servers; by number of the limiter.
+        # Delay, in ms, until a limiter learns of a changed list of servers; 0 if it is not in here.
         self.announcement_delays: dict[int, float] = {}
         self.served = 0
         self.rejected = 0
@@ -91,10 +86,7 @@
         self._capacity_per_ms = servers * CORES / MEAN_WORK_MS  # requests a ms
         self._load = load
         self._burst = burst
-        self._engines = [
-            PolicyEngine(_limiter_settings(limiter, limiters), self._rng.getrandbits(32))
-            for limiter in range(limiters)
-        ]
+        self._engines = _make_engines(limiters, self._rng)
         # For each limiter, the starts of servers that it knows, by endpoint id.
         self._known_starts: list[dict[bytes, float]] = [{} for _ in self._engines]
         self._open: dict[int, ClientRequest] = {}
@@ -249,6 +241,12 @@
                 self._clock.call_at(self.now + GOSSIP_DELAY_MS, self._feed, receiver, message)
 
 
+def _make_engines(limiters: int, rng: Random) -> list[PolicyEngine]:
+    return [
+        PolicyEngine(_limiter_settings(limiter, limiters), rng.getrandbits(32)) for limiter in range(limiters)
+    ]
+
+
 def _endpoint_id(number: int) -> bytes:
     return b"server %d" % number
 
