--- a/scale/hollow/plan.py
+++ b/scale/hollow/plan.py
@@ -45,6 +45,8 @@
 
 
 class _Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """A table of the file, whose numbers are finite and whose ranges are not empty."""
+
     def __post_init__(self) -> None:
         _check_numbers(self)
 
@@ -175,6 +177,8 @@
 
 
 class _Fault(_Table, frozen=True, tag_field="kind"):
+    """A fault that begins at a time of the experiment."""
+
     at: Amount
 
     def duration(self) -> float:
@@ -219,6 +223,8 @@
 
 
 class _LastingFault(_Fault, frozen=True):
+    """A fault that ends by itself."""
+
     lasting: Positive
 
     def duration(self) -> float:
--- a/scale/process/clients.py
+++ b/scale/process/clients.py
@@ -28,8 +28,8 @@
         # Requests without a response: their connection could not be made, or was closed too early.
         self.failed = 0
         self.statuses: Tally[int] = Tally()
-        # Seconds that each served request took longer at the client than at its server.
-        self.added_latencies: list[float] = []
+        # For each served request, how much longer it took at the client than at its server.
+        self.added_latencies_s: list[float] = []
         self._address = address
         self._limiters = limiters
         self._customers = customers
@@ -78,12 +78,12 @@
             connection.request_id = None
             self._count_failed()
 
-    def response_received(self, request_id: bytes, status: int, latency: float) -> None:
-        """A request got its whole response `latency` seconds after it was written."""
+    def response_received(self, request_id: bytes, status: int, latency_s: float) -> None:
+        """A request got its whole response, that long after it was written."""
         self.statuses[status] += 1
-        service_time = self._servers.service_times.pop(request_id, None)
-        if status == 200 and service_time is not None:
-            self.added_latencies.append(latency - service_time)
+        service_time_s = self._servers.service_times_s.pop(request_id, None)
+        if status == 200 and service_time_s is not None:
+            self.added_latencies_s.append(latency_s - service_time_s)
         self._request_ended.set()
 
     def connection_idle(self, connection: _ClientConnection) -> None:
@@ -105,7 +105,8 @@
 
 def request_bytes(customer: int, request_id: str, is_order: bool, limiters: int) -> bytes:
     """Write a request as a client does; an order is a request that must not run twice."""
-    request_class, method = ("alert-order", "POST") if is_order else ("obs-read", "GET")
+    request_class = "alert-order" if is_order else "obs-read"
+    method = "POST" if is_order else "GET"
     body = ORDER_BODY if is_order else b""
     length = f"Content-Length: {len(body)}\r\n" if body else ""
     limiter_set_size = min(MAX_LIMITER_SET_SIZE, limiters)
--- a/scale/process/discovery.py
+++ b/scale/process/discovery.py
@@ -5,6 +5,7 @@
 import asyncio
 import re
 import time
+from typing import NamedTuple
 
 from scale.process.endpoint_list import FIRST_VERSION, EndpointList
 from scale.process.traffic import HttpProtocol, Traffic, listen
@@ -14,6 +15,13 @@
 WATCH_TARGET = re.compile(rb"/catalog/members\?since=(\d+)&timeout_ms=(\d+)")
 
 
+class Watch(NamedTuple):
+    """A call that waits for a change of the list."""
+
+    version: int  # newest version that the caller knows
+    timer: asyncio.TimerHandle  # ends the watch at its timeout
+
+
 class Discovery:
     """The discovery agent: a watch ends once there are changes, or when its time is over."""
 
@@ -26,8 +34,7 @@
         # The newest version that the limiter has reported to know, in a watch.
         self.acknowledged_version = endpoints.version
         self.endpoints = endpoints
-        # Version that each watch waits to be exceeded, and the timer of its timeout.
-        self.watches: dict[_DiscoveryConnection, tuple[int, asyncio.TimerHandle]] = {}
+        self.watches: dict[_DiscoveryConnection, Watch] = {}
         self._listener: asyncio.Server
 
     @property
@@ -67,21 +74,21 @@
 
     def end_watch(self, connection: _DiscoveryConnection) -> None:
         """End a watch: respond with the changes since its version, which may be none."""
-        version, timer = self.watches.pop(connection)
-        timer.cancel()
-        connection.respond(200, self.endpoints.changes_since(version))
+        watch = self.watches.pop(connection)
+        watch.timer.cancel()
+        connection.respond(200, self.endpoints.changes_since(watch.version))
 
     def cancel_watch(self, connection: _DiscoveryConnection) -> None:
         """End the watch of a closed connection, if it has one."""
-        if connection in self.watches:
-            _, timer = self.watches.pop(connection)
-            timer.cancel()
+        watch = self.watches.pop(connection, None)
+        if watch is not None:
+            watch.timer.cancel()
 
     def _begin_watch(self, connection: _DiscoveryConnection, version: int, timeout_ms: int) -> None:
         self.acknowledged_version = max(self.acknowledged_version, version)
         timeout_s = min(MAX_WATCH_MS, timeout_ms) / 1000
         timer = asyncio.get_running_loop().call_later(timeout_s, self.end_watch, connection)
-        self.watches[connection] = version, timer
+        self.watches[connection] = Watch(version, timer)
         if version != self.endpoints.version:
             self.end_watch(connection)
 
--- a/scale/process/engine_sweep.py
+++ b/scale/process/engine_sweep.py
@@ -3,6 +3,9 @@
 Each size has a fresh interpreter, so that nothing of the size before is counted. Times are processor time of
 the thread in microseconds, as the median and the 99th percentile. A garbage collection counts in the event
 during which it happens.
+
+A round is the engine's periodic update of its estimates. The result lines count it apart from other
+events: `round_idle` before any gossip or request, `round_between` during the sweep, `round` at its end.
 """
 
 from __future__ import annotations
@@ -176,14 +179,14 @@
         """Send a request of each customer, with gossip meanwhile; return how many were rejected."""
         bench = self._bench
         rejected = 0
-        interval = min(LATENCY_MS, ALL_REQUESTS_MS / self._size.customers)
+        interval_ms = min(LATENCY_MS, ALL_REQUESTS_MS / self._size.customers)
         next_gossip_at = bench.now
         for number, customer in enumerate(self._population):
             while bench.now >= next_gossip_at:
                 next_gossip_at += GOSSIP_INTERVAL_MS
                 self._receive_gossip_of_some()
             attempts = bench.request(number, customer)
-            bench.now += interval
+            bench.now += interval_ms
             rejected += not attempts
             for attempt in attempts:
                 bench.end_attempt(attempt)
--- a/scale/process/environment.py
+++ b/scale/process/environment.py
@@ -35,7 +35,7 @@
         self.counter = Counter(experiment.counter_per_s)
         # None until the limiter is ready and `start_clients` is called.
         self.clients: Clients | None = None
-        self.delays: list[float] = []  # seconds by which each action of this phase was late
+        self.delays_s: list[float] = []  # how late each action of this phase was
         self._endpoint_count = servers
         self._rng = rng
         self._customers = rng.sample(range(CUSTOMER_IDS), experiment.customers)
@@ -105,5 +105,5 @@
         for index in range(round(per_s * seconds)):
             due = started_at + (index + 0.5) / per_s
             await asyncio.sleep(due - time.monotonic())
-            self.delays.append(time.monotonic() - due)
+            self.delays_s.append(time.monotonic() - due)
             action()
--- a/scale/process/phases.py
+++ b/scale/process/phases.py
@@ -98,7 +98,7 @@
             {
                 **_cost_figures(phase, measurement, additional_cores),
                 **_response_figures(clients),
-                "stand_ins_late_p99_ms": _percentile_ms(environment.delays, 99.0),
+                "stand_ins_late_p99_ms": _percentile_ms(environment.delays_s, 99.0),
                 "tier": _fleet_figures(environment, phase, measurement.counts, clients.sent),
             }
         )
@@ -108,21 +108,21 @@
 async def _play_phase(
     environment: Environment, limiter: LimiterProcess, clients: Clients, phase: Phase
 ) -> Measurement:
-    seconds = environment.experiment.phase_s
-    environment.delays.clear()
+    phase_s = environment.experiment.phase_s
+    environment.delays_s.clear()
     counts_before = environment.counts()
     started_at = time.monotonic()
     processor_before = limiter.processor_seconds()
     async with asyncio.TaskGroup() as group:
-        group.create_task(asyncio.sleep(seconds))
-        group.create_task(environment.repeat(environment.peers.send, phase.datagrams, seconds))
-        group.create_task(environment.repeat(environment.discovery.change, phase.changes, seconds))
-        group.create_task(environment.repeat(clients.send_request, phase.requests, seconds))
-    elapsed = time.monotonic() - started_at
+        group.create_task(asyncio.sleep(phase_s))
+        group.create_task(environment.repeat(environment.peers.send, phase.datagrams, phase_s))
+        group.create_task(environment.repeat(environment.discovery.change, phase.changes, phase_s))
+        group.create_task(environment.repeat(clients.send_request, phase.requests, phase_s))
+    elapsed_s = time.monotonic() - started_at
     processor_seconds = limiter.processor_seconds() - processor_before
     counts = environment.counts()
     counts.subtract(counts_before)
-    return Measurement(elapsed, processor_seconds, counts)
+    return Measurement(elapsed_s, processor_seconds, counts)
 
 
 async def _wait_for_responses(clients: Clients) -> None:
@@ -161,8 +161,8 @@
         "requests": clients.sent,
         "answers": {str(status): count for status, count in sorted(clients.statuses.items())},
         "lost": clients.sent - clients.statuses.total(),
-        "added_p50_ms": _percentile_ms(clients.added_latencies, 50.0),
-        "added_p99_ms": _percentile_ms(clients.added_latencies, 99.0),
+        "added_p50_ms": _percentile_ms(clients.added_latencies_s, 50.0),
+        "added_p99_ms": _percentile_ms(clients.added_latencies_s, 99.0),
     }
 
 
--- a/scale/process/servers.py
+++ b/scale/process/servers.py
@@ -18,8 +18,8 @@
     def __init__(self, work_ms: float) -> None:
         """Respond to each request after `work_ms`."""
         self.traffic = Traffic()
-        # Seconds from a request's last byte to its response, by request id.
-        self.service_times: dict[bytes, float] = {}
+        # Time from a request's last byte to its response, by request id.
+        self.service_times_s: dict[bytes, float] = {}
         self.response_count = 0
         self.without_id = 0
         self.addresses: list[str] = []
@@ -50,7 +50,7 @@
 
     def _respond(self, connection: HttpProtocol, request_id: bytes, received_at: float) -> None:
         self.response_count += 1
-        self.service_times[request_id] = time.monotonic() - received_at
+        self.service_times_s[request_id] = time.monotonic() - received_at
         connection.respond(200, RESPONSE_BODY)
 
 
--- a/tests/scale/test_process_emulated_peers.py
+++ b/tests/scale/test_process_emulated_peers.py
@@ -230,7 +230,7 @@
         )
         assert (served[0], without_id[0]) == (200, 404)
         assert (servers.response_count, servers.without_id) == (1, 1)
-        assert list(servers.service_times) == [b"0a"]
+        assert list(servers.service_times_s) == [b"0a"]
 
 
 async def test_a_server_does_not_respond_to_an_incomplete_request() -> None:
@@ -241,5 +241,5 @@
             await writer.drain()
             await exchange(servers.addresses[0], order_request(b"0b"))
             assert servers.response_count == 1
-            assert set(servers.service_times) == {b"0b"}
+            assert set(servers.service_times_s) == {b"0b"}
             assert servers.traffic.connections == 2
