--- a/scale/process/discovery.py
+++ b/scale/process/discovery.py
@@ -1,10 +1,11 @@
-"""Stand-in for the discovery agent."""
+"""Emulation of the discovery agent, over HTTP."""
 
 from __future__ import annotations
 
 import asyncio
 import re
 import time
+from typing import NamedTuple
 
 from scale.process.endpoint_list import FIRST_VERSION, EndpointList
 from scale.process.traffic import HttpProtocol, Traffic, listen
@@ -14,74 +15,82 @@
 WATCH_TARGET = re.compile(rb"/catalog/members\?since=(\d+)&timeout_ms=(\d+)")
 
 
+class Watch(NamedTuple):
+    """A call that waits for a change of the list."""
+
+    version: int  # newest version that the caller knows
+    timer: asyncio.TimerHandle  # ends the watch at its timeout
+
+
 class Discovery:
-    """The discovery agent: a watch is answered once there are changes, or when its time is over."""
+    """The discovery agent: a watch ends once there are changes, or when its time is over."""
 
     def __init__(self, endpoints: EndpointList) -> None:
-        """Answer with that list and its changes."""
+        """Serve that list and its changes."""
         self.traffic = Traffic()
         self.calls = 0
-        self.full_lists = 0  # calls for the whole list
+        self.full_lists = 0  # number of calls for the whole list
         self.malformed_calls = 0
-        self.acknowledged_version = endpoints.version  # the newest that a call has shown to be known
+        # The newest version that the limiter has reported to know, in a watch.
+        self.acknowledged_version = endpoints.version
         self.endpoints = endpoints
-        self.watches: dict[_DiscoveryConnection, tuple[int, asyncio.TimerHandle]] = {}
+        self.watches: dict[_DiscoveryConnection, Watch] = {}
         self._listener: asyncio.Server
 
     @property
     def acknowledged_changes(self) -> int:
-        """Changes that calls have shown to be known."""
+        """Number of changes that the limiter has reported to know."""
         return self.acknowledged_version - FIRST_VERSION
 
     async def start(self) -> str:
-        """Listen; the address."""
+        """Listen for connections; return the address, `host:port`."""
         self._listener, address = await listen(lambda: _DiscoveryConnection(self))
         return address
 
     def change(self) -> None:
-        """Change the list, and answer all watches."""
+        """Change the list, and end all watches."""
         self.endpoints.change(round(time.time() * 1000))
         for connection in list(self.watches):
-            self.answer_watch(connection)
+            self.end_watch(connection)
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop listening; connections stay open."""
         self._listener.close()
 
     def request_received(self, connection: _DiscoveryConnection, head: bytes) -> None:
-        """Answer a call for the whole list, or begin a watch."""
+        """Respond to a call for the whole list, or begin a watch."""
         self.calls += 1
         target = head.split(b" ", 2)[1]
         if target == FULL_LIST_TARGET:
             self.full_lists += 1
-            connection.answer(200, self.endpoints.full_document())
+            connection.respond(200, self.endpoints.full_document())
             return
         watch = WATCH_TARGET.fullmatch(target)
         if watch is None:
             self.malformed_calls += 1
-            connection.answer(400, b"")
+            connection.respond(400, b"")
             return
         self._begin_watch(connection, int(watch[1]), int(watch[2]))
 
-    def answer_watch(self, connection: _DiscoveryConnection) -> None:
-        """End a watch with what changed since its version, which may be nothing."""
-        version, timer = self.watches.pop(connection)
-        timer.cancel()
-        connection.answer(200, self.endpoints.changes_since(version))
+    def end_watch(self, connection: _DiscoveryConnection) -> None:
+        """End a watch: respond with the changes since its version, which may be none."""
+        watch = self.watches.pop(connection)
+        watch.timer.cancel()
+        connection.respond(200, self.endpoints.changes_since(watch.version))
 
     def cancel_watch(self, connection: _DiscoveryConnection) -> None:
         """End the watch of a closed connection, if it has one."""
-        if connection in self.watches:
-            _, timer = self.watches.pop(connection)
-            timer.cancel()
+        watch = self.watches.pop(connection, None)
+        if watch is not None:
+            watch.timer.cancel()
 
     def _begin_watch(self, connection: _DiscoveryConnection, version: int, timeout_ms: int) -> None:
         self.acknowledged_version = max(self.acknowledged_version, version)
-        timeout = min(MAX_WATCH_MS, timeout_ms) / 1000
-        timer = asyncio.get_running_loop().call_later(timeout, self.answer_watch, connection)
-        self.watches[connection] = version, timer
+        timeout_s = min(MAX_WATCH_MS, timeout_ms) / 1000
+        timer = asyncio.get_running_loop().call_later(timeout_s, self.end_watch, connection)
+        self.watches[connection] = Watch(version, timer)
         if version != self.endpoints.version:
-            self.answer_watch(connection)
+            self.end_watch(connection)
 
 
 class _DiscoveryConnection(HttpProtocol):
