--- a/limiter/transport/counter/counter_connection.py
+++ b/limiter/transport/counter/counter_connection.py
@@ -142,7 +142,7 @@
     # Callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Take over the transport of the connection that is open now."""
         # A cast, since uvloop's transports do not inherit from asyncio's.
         self._transport = cast(asyncio.Transport, transport)
 
--- a/limiter/transport/counter/resp.py
+++ b/limiter/transport/counter/resp.py
@@ -120,6 +120,6 @@
 
 
 def pack_command(*words: str) -> bytes:
-    """Encode a command."""
+    """Encode a command that consists of `words`: its name and its arguments."""
     packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub takes one word only
     return packed
--- a/limiter/transport/discovery/discovery_watch.py
+++ b/limiter/transport/discovery/discovery_watch.py
@@ -132,7 +132,7 @@
         self.start()
 
     def close(self) -> None:
-        """Stop polling."""
+        """Stop polling; a call in progress is given up."""
         if self._task is not None:
             self._task.cancel()
 
--- a/limiter/transport/http_response.py
+++ b/limiter/transport/http_response.py
@@ -87,7 +87,7 @@
     # Callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Take over the transport of the connection that is open now."""
         # A cast, since uvloop's transports do not inherit from asyncio's.
         self.transport = cast(asyncio.Transport, transport)
 
@@ -110,7 +110,7 @@
             self.connection_failed()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Release the closed connection."""
+        """Release the closed connection, and report that no further response will come."""
         self._parser = None
         self.transport = None
         self.connection_failed()
@@ -148,7 +148,7 @@
     # Callbacks of the parser, whose names it prescribes
 
     def on_message_begin(self) -> None:
-        """Begin a response."""
+        """Forget the response before this one, which has been reported."""
         self.is_receiving = True
         if not self._is_complete:
             self._start_response()
--- a/limiter/transport/servers/pooled_server.py
+++ b/limiter/transport/servers/pooled_server.py
@@ -15,7 +15,7 @@
     __slots__ = ("idle", "open", "reuse_history")
 
     def __init__(self) -> None:
-        """Begin without connections."""
+        """Begin without connections and without a history of reuse."""
         self.open: set[ServerConnection] = set()
         # A dict for its order: the connection that has been idle longest comes first.
         self.idle: dict[ServerConnection, None] = {}
--- a/limiter/transport/servers/server_connection.py
+++ b/limiter/transport/servers/server_connection.py
@@ -88,7 +88,7 @@
         return now_seconds - self._idle_since_seconds
 
     def become_idle(self) -> None:
-        """Wait for the next attempt, which `owner` will choose it for."""
+        """Wait for the next attempt to the same server."""
         self._idle_since_seconds = time.monotonic()
         self._owner.keep_idle(self)
 
@@ -117,7 +117,7 @@
             self._owner.close_idle()
 
     def close(self) -> None:
-        """Close an idle connection."""
+        """Take an idle connection out of all lists, and close it."""
         self._owner.forget(self)
         self.drop()
 
