--- a/limiter/transport/discovery/discovery_watch.py
+++ b/limiter/transport/discovery/discovery_watch.py
@@ -7,6 +7,7 @@
 import logging
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Protocol
 
 from limiter.configuration.config import Address, ConfigError
 from limiter.transport.backoff import Backoff
@@ -30,11 +31,22 @@
 
 LIST_PATH = "/catalog/members"
 
-# Called with the entries, whether they are all servers, and whether they come from the configuration.
-ChangedCallback = Callable[[list[ListedEndpoint], bool, bool], None]
 FailedCallback = Callable[[bool], None]  # Called with whether discovery is overloaded.
 
 
+class ChangedCallback(Protocol):
+    """What is called with an endpoint list, or with the changes to the last one."""
+
+    def __call__(self, servers: list[ListedEndpoint], is_full_list: bool, from_cache: bool) -> None:
+        """Apply a list.
+
+        Args:
+            servers: the servers that the list names.
+            is_full_list: whether all others have left; otherwise they are unchanged.
+            from_cache: whether it is the configuration's list, which may be old.
+        """
+
+
 @dataclass(frozen=True, slots=True)
 class DiscoveryWatchOptions:
     """Where discovery is, and how it is called.
@@ -108,7 +120,7 @@
         except MemberListError as error:
             raise ConfigError(key="known", problem=str(error)) from error
         self._version = None if self._pacing.is_pushed else known.version
-        self._on_changed(known.entries, True, True)
+        self._on_changed(known.entries, is_full_list=True, from_cache=True)
 
     def allow_next_poll(self) -> None:
         """Make the call that waits since discovery was overloaded."""
@@ -220,7 +232,7 @@
         # Where all limiters share a discovery, the policy has to hear of each success, even of one without
         # changes, since it has heard of each failure.
         if received.entries or received.is_full or not self._pacing.is_pushed:
-            self._on_changed(received.entries, is_full, False)
+            self._on_changed(received.entries, is_full_list=is_full, from_cache=False)
         if not self.first_response.is_set():
             log.info("discovery_list_received version=%d entries=%d", received.version, len(received.entries))
             self.first_response.set()
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -155,7 +155,9 @@
         )
         self.watch = DiscoveryWatch(
             options,
-            lambda entries, is_full, is_known: self.changes.append((len(entries), is_full, is_known)),
+            lambda servers, is_full_list, from_cache: self.changes.append(
+                (len(servers), is_full_list, from_cache)
+            ),
             self.failures.append,
         )
 
