--- a/limiter/model/records.py
+++ b/limiter/model/records.py
@@ -1,4 +1,4 @@
-"""Records that the policy keeps of customers, servers and requests. They decide nothing.
+"""Records that the policy keeps of customers and requests. They decide nothing.
 
 All times and durations are milliseconds.
 """
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from limiter.model.events import ClientRequest, Endpoint, EndpointId
-from limiter.model.settings import QuotaPlan, RequestClass, Settings
+from limiter.model.settings import QuotaPlan, RequestClass
 
 _MASK_64 = 2**64 - 1
 
@@ -152,54 +152,6 @@
         return max(0.0, units - self.tokens) / max(rate - self.remote_rate, rate / self.spread)
 
 
-@dataclass(slots=True)
-class ServerRecord:
-    """A server's health, its slow start and the attempts in flight to it from here."""
-
-    endpoint: Endpoint
-    is_ready: bool = True
-    latency: float = 0.0
-    failure_rate: float = 0.0  # recent share of failed outcomes
-    last_outcome_at: float = 0.0
-    ejected_until: float = 0.0  # 0: not ejected
-    ejection_length: float = 0.0
-    trial_in_flight: bool = False  # an attempt is out that ends the ejection if it succeeds
-    paused_until: float = 0.0  # nothing is sent until then, since the server rejected an attempt
-    pause_length: float = 0.0  # of that, the last time
-    last_sent_at: float = 0.0
-    last_success_sent_at: float = 0.0  # when the newest of the successful attempts was sent
-    credit: float = 0.0  # attempts that it may get from here while it warms up
-    credit_at: float = 0.0  # even share up to which the credit was counted
-    in_flight: dict[tuple[int, int], float] = field(default_factory=dict)  # (request, attempt): sent at
-
-    def overtaken_attempts(self, sent_before: float) -> int:
-        """Attempts sent before that time and overtaken by a success: they were lost, the server is well."""
-        sent_before = min(sent_before, self.last_success_sent_at)
-        return sum(sent_at < sent_before for sent_at in self.in_flight.values())
-
-    def warmth(self, now: float, settings: Settings) -> float:
-        """Share of its full capacity that the settings promise of it at this time after its start."""
-        started_at = self.endpoint.started_at
-        age = max(0.0, now - started_at) if started_at > 0 else math.inf
-        at_start = settings.slow_start_capacity
-        return min(1.0, at_start + (1 - at_start) * age / max(settings.slow_start_duration, 1e-9))
-
-    def may_be_tried(self, now: float) -> bool:
-        """Whether the server is not ejected, or due for the one trial that may end its ejection."""
-        return self.ejected_until <= 0 or (now >= self.ejected_until and not self.trial_in_flight)
-
-    def end_attempt(self, request_id: int, attempt: int, is_success: bool) -> bool:
-        """Count the end of an attempt; False if it was not sent by this process."""
-        sent_at = self.in_flight.pop((request_id, attempt), None)
-        if sent_at is not None and is_success:
-            self.last_success_sent_at = max(self.last_success_sent_at, sent_at)
-        return sent_at is not None
-
-    def waiting_since(self) -> float:
-        """Since when the server has not answered, while attempts are in flight to it."""
-        return max(next(iter(self.in_flight.values())), self.last_success_sent_at)
-
-
 @dataclass(slots=True)
 class RequestRecord:
     """A client's request until its final answer is out and no attempt is in flight."""
@@ -220,15 +172,13 @@
     report_weight: float = 1.0  # how many requests like it its own use is reported for
     tried: set[EndpointId] = field(default_factory=set)
 
-    def start_attempt(self, now: float, server: ServerRecord) -> None:
-        """Count an attempt that is sent to the server now."""
+    def start_attempt(self, now: float, endpoint: Endpoint) -> None:
+        """Count an attempt that is sent to the server at this endpoint now."""
         if self.first_endpoint is None:
-            self.first_endpoint = server.endpoint
+            self.first_endpoint = endpoint
             self.first_sent_at = now
             self.first_attempt = self.attempts
-        self.tried.add(server.endpoint.id)
-        server.in_flight[(self.request.id, self.attempts)] = now
-        server.last_sent_at = now
+        self.tried.add(endpoint.id)
         self.attempts += 1
         self.in_flight += 1
         self.customer.in_flight += 1
--- a/limiter/policy/concurrency_limit.py
+++ b/limiter/policy/concurrency_limit.py
@@ -81,9 +81,9 @@
         step = min(MAX_INCREASE, max(MAX_DECREASE, TARGET_UTILIZATION / max(self.utilization, 1e-6)))
         if step < 1 or 2 * self.mean_in_flight() > self.limit:
             self.per_server = min(MAX_PER_SERVER, max(MIN_PER_SERVER, self.per_server * step))
-        warmth = self.selector.slow_start.measure_fleet(now, self.selector.table.ready)
+        capacity = self.selector.slow_start.measure_fleet(now, self.selector.table.ready)
         least = min(MIN_LIMIT, max(1.0, MIN_LIMIT / max(self.utilization, 1e-6)))
-        self.limit = max(least, self.per_server * warmth / self.context.settings.limiter_count)
+        self.limit = max(least, self.per_server * capacity / self.context.settings.limiter_count)
         self.updated_at = now
         self.completed = 0
         self.busy_time = 0.0
@@ -91,12 +91,12 @@
     def _count_stalled(self, now: float) -> int:
         """Attempts that say nothing of the fleet: overtaken, or at silent servers unless these are many."""
         before = now - self.context.tightest_objective
-        servers = self.selector.table.records.values() if self.in_flight else ()
-        busy = [server for server in servers if server.in_flight]
-        stalled = sum(server.overtaken_attempts(before) for server in busy)
-        silent = [server for server in busy if server.waiting_since() < before]
-        if 4 * len(silent) <= len(self.selector.table.records):
-            stalled += sum(len(server.in_flight) - server.overtaken_attempts(before) for server in silent)
+        servers = self.selector.table.by_id.values() if self.in_flight else ()
+        busy = [server.attempts_in_flight for server in servers if server.attempts_in_flight is not None]
+        stalled = sum(attempts.count_overtaken(before) for attempts in busy)
+        silent = [attempts for attempts in busy if attempts.waiting_since() < before]
+        if 4 * len(silent) <= len(self.selector.table.by_id):
+            stalled += sum(len(attempts.sent_at) - attempts.count_overtaken(before) for attempts in silent)
         return stalled
 
     def _measure_utilization(self, now: float) -> None:
--- a/limiter/policy/discovery_backoff.py
+++ b/limiter/policy/discovery_backoff.py
@@ -13,8 +13,8 @@
 from limiter.codecs.gossip_messages import decode_report, encode_report, is_report
 from limiter.model.actions import BroadcastGossip, PollDiscovery
 from limiter.model.events import DiscoveryPollFailed, EndpointId, EndpointsChanged, EndpointState
-from limiter.model.tables import ServerTable
 from limiter.policy.context import PolicyContext, Timer
+from limiter.policy.server_table import ServerTable
 from limiter.policy.throttle import clamped
 
 SLOT_MS = 1000.0  # four fit into the 6 s after which a change must be known, with time for poll and gossip
@@ -70,7 +70,7 @@
         """An answer of discovery, not yet in the table of servers: from now on the own list decides."""
         if not self.may_gossip or change.from_cache:
             return
-        known = self.servers.records
+        known = self.servers.by_id
         listed = {each.id for each in change.endpoints if each.state is EndpointState.READY}
         changed = known if change.is_full_list else [endpoint.id for endpoint in change.endpoints]
         removed = [key for key in changed if key in known and known[key].is_ready and key not in listed]
--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -16,7 +16,8 @@
 from limiter.policy.discovery_backoff import DiscoveryBackoff
 from limiter.policy.outlier_detection import OutlierDetector
 from limiter.policy.retries import AttemptManager
-from limiter.policy.server_selection import ServerSelector, SlowStart
+from limiter.policy.server_selection import ServerSelector
+from limiter.policy.slow_start import SlowStart
 from limiter.policy.token_bucket import TokenBuckets
 from limiter.policy.usage_gossip import UsageGossip
 from limiter.policy.usage_sampling import UsageSampler
--- a/limiter/policy/retries.py
+++ b/limiter/policy/retries.py
@@ -46,9 +46,9 @@
         server = self.selector.choose(now, request)
         if server is None:
             return False
-        server.trial_in_flight = server.trial_in_flight or server.ejected_until > 0
         self.selector.slow_start.record_attempt(server)
-        request.start_attempt(now, server)
+        server.start_attempt(request.request.id, request.attempts, now)
+        request.start_attempt(now, server.endpoint)
         self.limit.in_flight += 1
         self.gossip.schedule()
         timeout = min(time_left, self._patience(request, time_left))
@@ -68,12 +68,12 @@
 
     def handle_end(self, now: float, ended: AttemptEnded) -> None:
         """Take in how an attempt ended; retry its request or end that."""
-        server = self.selector.table.records.get(ended.endpoint_id)
+        server = self.selector.table.by_id.get(ended.endpoint_id)
         is_success = ended.outcome is Outcome.OK
         if server is None or not server.end_attempt(ended.request_id, ended.attempt, is_success):
             return  # not an attempt of this process
         self.limit.in_flight -= 1
-        self.limit.completed += self.selector.outliers.record_outcome(now, server, ended)
+        self.limit.completed += self.selector.outliers.record_outcome(now, server.health, ended)
         request = self.requests.get(ended.request_id)
         if request is None:
             return
--- a/limiter/policy/server_selection.py
+++ b/limiter/policy/server_selection.py
@@ -1,80 +1,50 @@
-"""Server selection: the servers that may be sent to, their slow start, and the cheapest one for an attempt.
+"""Server selection: which of the ready servers gets an attempt.
 
-Types: limiter/model. Times are milliseconds.
+Servers that are paused, ejected or without a credit are left out; the others are compared by the time that an
+attempt is expected to take there. Types: limiter/model. All times and durations are milliseconds.
 """
 
-from collections.abc import Iterable
 from dataclasses import dataclass, field
 from heapq import nsmallest
 
 from limiter.model.events import EndpointsChanged
-from limiter.model.records import RequestRecord, ServerRecord
+from limiter.model.records import RequestRecord
 from limiter.model.settings import DedupScope, Idempotency
-from limiter.model.tables import ServerTable
 from limiter.policy.context import PolicyContext
 from limiter.policy.outlier_detection import OutlierDetector
+from limiter.policy.server_table import Server, ServerTable
+from limiter.policy.slow_start import SlowStart
 
-MAX_CANDIDATES = 100  # that one choice looks at: what is known of few servers beats an even draw
-SILENCE_TRIAL_MS = 1000.0  # after this without an attempt, one shows whether a silence lasts
-CREDIT_SHARE = 0.75  # of a warming server's budget that its even share of attempts may fill: room for chance
-MIN_EVEN_SHARE = 2.0  # attempts from here, as even share of a warm-up: below, credits only cost connections
+# Servers that one choice compares at most, drawn from all. The cost of a choice is bounded so in any
+# fleet, and what a limiter knows of few servers tells more than an even draw.
+MAX_CANDIDATES = 100
 
+# Once no attempt was sent to an unresponsive server for this long, its waiting attempts no longer raise its
+# cost: the next attempt shows whether it still does not answer.
+UNRESPONSIVE_RETRY_MS = 1000.0
 
-@dataclass
-class SlowStart:
-    """How much a server may get while it warms up.
+# The cost is multiplied by a factor drawn from this range: limiters that know the same must not all
+# choose the same server.
+MIN_COST_NOISE = 1.0
+MAX_COST_NOISE = 1.1
 
-    What all limiters send to it adds up, and by cost alone it ranks first at each of them, since little is in
-    flight there. So it earns a credit for its even share of attempts, and is drawn by its warmth.
-    """
+# Added to the latency in the cost, so that servers of which no latency is known yet differ by their load.
+BASE_LATENCY_MS = 1.0
 
-    context: PolicyContext
-    unseen_load_share: float
-    fleet_warmth: float = 1.0  # in warm servers
-    even_share: float = 0.0  # attempts from here so far, each over the fleet's warmth at the time
-
-    def measure_fleet(self, now: float, servers: list[ServerRecord]) -> float:
-        """Warmth of all these servers together, in warm servers."""
-        starting = (server for server in servers if server.endpoint.started_at > 0)
-        warmth = len(servers) - sum(1 - server.warmth(now, self.context.settings) for server in starting)
-        self.fleet_warmth = max(1.0, warmth)
-        return warmth
-
-    def register(self, server: ServerRecord) -> None:
-        """Begin the credit of a server; drawn, so that not all limiters turn to it in the same moment."""
-        server.credit_at = self.even_share
-        server.credit = self.context.random.random() if self.unseen_load_share else 1.0
-
-    def record_attempt(self, server: ServerRecord) -> None:
-        """Count an attempt that is sent from here to this server."""
-        self.even_share += 1 / self.fleet_warmth
-        server.credit -= 1
-
-    def with_credit(self, now: float, servers: list[ServerRecord]) -> list[ServerRecord]:
-        """Those of the servers that may get an attempt by their credit, where credits are of use."""
-        least = MIN_EVEN_SHARE * (now - self.context.started_at)
-        if not self.unseen_load_share or self.even_share * self.context.settings.slow_start_duration < least:
-            return servers
-        return [server for server in servers if self._credit(now, server) >= 1]
-
-    def _credit(self, now: float, server: ServerRecord) -> float:
-        """Attempts that a server may get: its even share by warmth, one saved up at most."""
-        if (warmth := server.warmth(now, self.context.settings)) >= 1:
-            return 1.0
-        per_share = CREDIT_SHARE / self.unseen_load_share * self.context.settings.slow_start_overload * warmth
-        server.credit = min(1.0, server.credit + per_share * (self.even_share - server.credit_at))
-        server.credit_at = self.even_share
-        return server.credit
-
-    def choose(self, now: float, servers: Iterable[ServerRecord]) -> ServerRecord | None:
-        """The first that a draw by its warmth passes: right in sum at any number of limiters."""
-        random, settings = self.context.random.random, self.context.settings
-        return next((server for server in servers if random() < server.warmth(now, settings)), None)
+# Least success rate that the cost reckons with: below it an attempt would seem endlessly expensive.
+MIN_SUCCESS_RATE = 0.05
 
 
 @dataclass
 class ServerSelector:
-    """Chooses among the servers that are ready."""
+    """Chooses among the servers that are ready.
+
+    Attributes:
+        context: What the parts of the policy engine share.
+        outliers: Judges servers by how attempts end.
+        slow_start: Limits what a server gets while it warms up.
+        table: The servers.
+    """
 
     context: PolicyContext
     outliers: OutlierDetector
@@ -86,22 +56,26 @@
         for server in self.table.update(change):
             self.slow_start.register(server)
 
-    def choose(self, now: float, request: RequestRecord) -> ServerRecord | None:
-        """The server for the next attempt; None where none may take it."""
-        candidates = [server for server in self._candidates(request) if now >= server.paused_until]
+    def choose(self, now: float, request: RequestRecord) -> Server | None:
+        """Return the server for the next attempt of a request; None where none may take it."""
+        candidates = [server for server in self._candidates(request) if not server.health.is_paused(now)]
         untried = [server for server in candidates if server.endpoint.id not in request.tried]
-        sound = self.outliers.without_outliers(now, untried or candidates)
-        sound = self.slow_start.with_credit(now, sound)
+        candidates = self._without_ejected(now, untried or candidates)
+        candidates = self.slow_start.with_credit(now, candidates)
         count = max(1, int(self.context.settings.slow_start_overload))
-        cheapest = nsmallest(count, sound, lambda server: self.cost(now, server))
+        cheapest = nsmallest(count, candidates, lambda server: self.cost(now, server))
         return self.slow_start.choose(now, cheapest)
 
-    def _candidates(self, request: RequestRecord) -> list[ServerRecord]:
-        """All ready servers of a small fleet, some drawn of a large one; a retry may be bound to a scope."""
+    def _candidates(self, request: RequestRecord) -> list[Server]:
+        """Return the servers that the request may be sent to, some of them drawn in a large fleet.
+
+        A retry that only one zone or cell knows as a repeat is bound to that.
+        """
         candidates = self.table.ready
         if len(candidates) > MAX_CANDIDATES:
             candidates = self.context.random.sample(candidates, MAX_CANDIDATES)
-        first, request_class = request.first_endpoint, request.request_class
+        first = request.first_endpoint
+        request_class = request.request_class
         if first is not None and request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
             if request_class.dedup_scope is DedupScope.ZONE:
                 return [server for server in self.table.ready if server.endpoint.zone == first.zone]
@@ -109,17 +83,35 @@
                 return [server for server in self.table.ready if server.endpoint.cell == first.cell]
         return candidates
 
-    def cost(self, now: float, server: ServerRecord) -> float:
-        """Expected time of an attempt: latency, own attempts in flight, and what failures add in retries."""
-        latency, remaining = self.outliers.mean_latency, 0.0
-        if server.latency:
-            remaining = self.outliers.remaining_weight(now, server)
-            latency += remaining * (server.latency - latency)
-        in_flight, overtaken = len(server.in_flight), 0
-        if in_flight:
-            overtaken = server.overtaken_attempts(now - self.context.tightest_objective)
-            if in_flight > overtaken and now - server.last_sent_at < SILENCE_TRIAL_MS:
-                latency = max(latency, now - server.waiting_since())
-        noise = self.context.random.uniform(1.0, 1.1)  # limiters that know the same must not choose the same
-        success_rate = max(0.05, 1 - remaining * server.failure_rate)
-        return noise * (latency + 1.0) * (1 + in_flight - overtaken) / success_rate**2
+    @staticmethod
+    def _without_ejected(now: float, servers: list[Server]) -> list[Server]:
+        """Return the servers that are not ejected, or due for a probe.
+
+        Where most are ejected the fault is not theirs, and all are returned.
+        """
+        healthy = [server for server in servers if server.health.accepts_attempts(now)]
+        most_are_ejected = 2 * len(healthy) < len(servers)
+        return servers if most_are_ejected else healthy
+
+    def cost(self, now: float, server: Server) -> float:
+        """Return the expected time of an attempt, retries after failures included, with noise.
+
+        It grows with the server's latency and the attempts in flight to it from here; overtaken attempts are
+        left out. A server that does not answer has at least the latency for which it has been waited for.
+        """
+        health = server.health
+        latency = self.outliers.mean_latency
+        record_weight = 0.0
+        if health.latency:
+            record_weight = health.remaining_weight(now)
+            latency += record_weight * (health.latency - latency)
+        working = 0
+        attempts = server.attempts_in_flight
+        if attempts is not None:
+            overtaken = attempts.count_overtaken(now - self.context.tightest_objective)
+            working = len(attempts.sent_at) - overtaken
+            if working > 0 and now - attempts.last_sent_at < UNRESPONSIVE_RETRY_MS:
+                latency = max(latency, now - attempts.waiting_since())
+        noise = self.context.random.uniform(MIN_COST_NOISE, MAX_COST_NOISE)
+        success_rate = max(MIN_SUCCESS_RATE, 1 - record_weight * health.failure_rate)
+        return noise * (latency + BASE_LATENCY_MS) * (1 + working) / success_rate**2
--- a/limiter/policy/smoothing.py
+++ b/limiter/policy/smoothing.py
@@ -19,6 +19,17 @@
     return average + weight * (sample - average)
 
 
+def ewma_step_or_first(average: float, sample: float, weight: float) -> float:
+    """Return a moving average after one more sample, where the first sample is the average itself.
+
+    Args:
+        average: The average before this sample; 0 if there was no sample yet.
+        sample: The newest sample, in the unit of the average.
+        weight: Share of the sample in the new average, from 0 to 1.
+    """
+    return ewma_step(average, sample, weight) if average else sample
+
+
 def decay_factor(elapsed: float, time_constant: float) -> float:
     """Return the share of a value that is left after exponential decay: 1 at once, 1/e after the constant.
 
--- a/tests/policy/test_discovery_backoff.py
+++ b/tests/policy/test_discovery_backoff.py
@@ -15,9 +15,9 @@
     EndpointState,
     GossipReceived,
 )
-from limiter.model.tables import ServerTable
 from limiter.policy.context import PolicyContext
 from limiter.policy.discovery_backoff import MAX_COPIES, DiscoveryBackoff
+from limiter.policy.server_table import ServerTable
 from tests.support.policy_driver import (
     PolicyDriver,
     endpoint,
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -3,14 +3,20 @@
 from __future__ import annotations
 
 from collections import Counter
+from collections.abc import Collection
 
 import pytest
 
-from limiter.model.events import AttemptEnded, Outcome
+from limiter.model.events import Outcome
 from limiter.model.settings import RequestClass
+from limiter.policy.outlier_detection import FIRST_EJECTION_MS, MAX_EJECTION_JITTER
 from tests.support.policy_driver import PolicyDriver, SentAttempt, endpoint_id, make_driver
 from tests.support.policy_scenarios import NO_QUOTA, first_endpoints
 
+FAILURES_TO_EJECT = 4
+FAST_MS = 1.0  # Latency of a server that the cost prefers,
+SLOW_MS = 1e6  # and of one that it avoids.
+
 ROUND_MS = 50.0
 ATTEMPTS_IN_FLIGHT = 6
 SERVED_MS = 100.0
@@ -52,10 +58,16 @@
                 self._end_oldest()
         return attempts[endpoint_id(0)] / attempts.total()
 
-    def lose_an_answer(self) -> None:
-        """One attempt at server 0 never ends, while those that are sent after it do."""
-        self.driver.server_record(0).in_flight[(0, 0)] = self.driver.now
-        self.driver.engine.limit.in_flight += 1
+    def lose_a_response(self) -> None:
+        """Send requests until one goes to server 0; that attempt never ends, while those after it do."""
+        for _ in range(100):
+            for sent in self._send_request():
+                if sent.endpoint_id == endpoint_id(0):
+                    return
+                self.pending.append((sent, Outcome.OK, False))
+            while len(self.pending) > ATTEMPTS_IN_FLIGHT:
+                self._end_oldest()
+        pytest.fail("no attempt was sent to server 0")
 
     def _send_request(self) -> list[SentAttempt]:
         self.driver.now += ROUND_MS
@@ -84,9 +96,9 @@
     assert traffic.run(200) > SERVER_SHARE_LIMIT
 
 
-def test_one_lost_answer_does_not_exclude_its_server(traffic: Traffic) -> None:
+def test_one_lost_response_does_not_exclude_its_server(traffic: Traffic) -> None:
     """Later attempts overtook it, so it was lost on its way."""
-    traffic.lose_an_answer()
+    traffic.lose_a_response()
     assert traffic.run(100) > 0.05  # for all that the lost one is still in flight
     assert traffic.driver.engine.limit.stalled >= 1  # and it is no sign of load
 
@@ -99,45 +111,62 @@
 
 @pytest.fixture
 def four_servers() -> PolicyDriver:
-    """A limiter with four servers and no quota."""
-    return make_driver(server_count=4, plans=NO_QUOTA)
-
-
-def record_failures(driver: PolicyDriver, index: int, count: int) -> None:
-    """Record attempts at server `index` that ended in an error."""
-    failure = AttemptEnded(0, 0, endpoint_id(index), Outcome.ERROR, 1.0, True)
-    for _ in range(count):
-        driver.engine.outliers.record_outcome(driver.now, driver.server_record(index), failure)
-
-
-def make_slow(driver: PolicyDriver, index: int) -> None:
-    """Let server `index` be so slow that the cost alone would choose any other."""
-    server = driver.server_record(index)
-    server.latency = 1e6
-    server.last_outcome_at = driver.now
-
-
-def test_a_failing_server_is_ejected_and_then_gets_one_trial_attempt(four_servers: PolicyDriver) -> None:
-    """The trial attempt decides whether the ejection ends."""
+    """A lone limiter with four servers, without a quota and without retries."""
+    return make_driver(server_count=4, limiter_count=1, max_attempts=1, plans=NO_QUOTA)
+
+
+def fill_servers(driver: PolicyDriver) -> list[SentAttempt]:
+    """Make requests until each server has attempts in flight that would eject it if they all failed."""
+    for _ in range(500):
+        request_id = len(driver.requests) + 1
+        driver.request(request_id, customer=request_id)
+        counts = Counter(sent.endpoint_id for sent in driver.in_flight())
+        if all(counts[server] >= FAILURES_TO_EJECT for server in driver.endpoints):
+            return driver.in_flight()
+    pytest.fail("some server gets too few attempts")
+
+
+def eject(driver: PolicyDriver, indexes: Collection[int]) -> None:
+    """Let these servers fail at once, and all others be so slow that the cost alone would choose these.
+
+    After 4 failures in a row, at weight 0.2 each, the failure rate is 0.59: it ejects, after 3 it would not.
+    """
+    ejected = {endpoint_id(index) for index in indexes}
+    for sent in fill_servers(driver):
+        driver.end_attempt(sent, Outcome.OK, FAST_MS)
+    failures: Counter[bytes] = Counter()
+    for sent in fill_servers(driver):
+        failures[sent.endpoint_id] += 1
+        if sent.endpoint_id not in ejected:
+            driver.end_attempt(sent, Outcome.OK, SLOW_MS)
+        elif failures[sent.endpoint_id] <= FAILURES_TO_EJECT:
+            driver.end_attempt(sent, Outcome.ERROR, FAST_MS)
+        else:
+            driver.end_attempt(sent, Outcome.CANCELLED)
+
+
+def send_one(driver: PolicyDriver) -> SentAttempt:
+    """Make a request; return its attempt."""
+    request_id = len(driver.requests) + 1
+    driver.request(request_id, customer=request_id)
+    [sent] = driver.sent[request_id]
+    return sent
+
+
+def test_a_failing_server_is_ejected_and_then_gets_one_probe_attempt(four_servers: PolicyDriver) -> None:
+    """The probe attempt decides whether the ejection ends."""
     driver = four_servers
-    record_failures(driver, 0, 6)
-    for index in (1, 2, 3):
-        make_slow(driver, index)
-    failing = driver.server_record(0)
-    failing.failure_rate = 0.0
-    assert endpoint_id(0) not in first_endpoints(driver, range(20))
-    driver.now = failing.ejected_until + 1.0
-    for index in (1, 2, 3):
-        driver.server_record(index).last_outcome_at = driver.now
-    driver.request(100, customer=100)
-    assert driver.sent[100][0].endpoint_id == endpoint_id(0)
-    driver.request(101, customer=101)
-    assert driver.sent[101][0].endpoint_id != endpoint_id(0)  # one trial at a time
+    eject(driver, {0})
+    for _ in range(20):
+        sent = send_one(driver)
+        assert sent.endpoint_id != endpoint_id(0)
+        driver.end_attempt(sent, Outcome.OK, SLOW_MS)
+    driver.now += MAX_EJECTION_JITTER * FIRST_EJECTION_MS + 1.0
+    assert send_one(driver).endpoint_id == endpoint_id(0)
+    assert send_one(driver).endpoint_id != endpoint_id(0)  # There is one probe at a time.
 
 
 def test_no_server_is_excluded_where_most_are_outliers(four_servers: PolicyDriver) -> None:
     """A fault that most share is not theirs."""
-    for index in range(3):
-        record_failures(four_servers, index, 6)
-    make_slow(four_servers, 3)
-    assert first_endpoints(four_servers, range(20)) - {endpoint_id(3)}
+    eject(four_servers, {0, 1, 2})
+    assert first_endpoints(four_servers, range(1000, 1020)) - {endpoint_id(3)}
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -14,7 +14,7 @@
     """The failed one may be cheap just because it fails at once."""
     driver = make_driver(server_count=2, seed=seed, plans=NO_QUOTA)
     driver.engine.outliers.mean_latency = 10.0
-    driver.server_record(1).latency = 9000.0
+    driver.server(1).health.latency = 9000.0
     driver.request(1)
     [failed] = driver.in_flight()
     driver.end_attempt(failed, Outcome.ERROR, 1.0)
--- a/tests/policy/test_server_selection.py
+++ b/tests/policy/test_server_selection.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from limiter.model.events import EndpointsChanged, Outcome
-from limiter.model.records import ServerRecord
+from limiter.model.events import AttemptEnded, EndpointsChanged, Outcome
 from limiter.policy.server_selection import MAX_CANDIDATES
+from limiter.policy.server_table import Server
 from limiter.policy.throttle import SAMPLE_INTERVAL_MS
 from tests.support.policy_driver import PolicyDriver, endpoint, endpoint_id, make_driver
 from tests.support.policy_scenarios import NO_QUOTA, first_endpoints
@@ -25,10 +25,10 @@
     [sent] = driver.in_flight()
     only_server = EndpointsChanged((endpoint(9),), is_full_list=True)
     driver.feed(only_server)
-    assert set(driver.server_records) == {sent.endpoint_id, endpoint_id(9)}
+    assert set(driver.servers) == {sent.endpoint_id, endpoint_id(9)}
     driver.end_attempt(sent, Outcome.OK, 50.0)
     driver.feed(only_server)
-    assert set(driver.server_records) == {endpoint_id(9)}
+    assert set(driver.servers) == {endpoint_id(9)}
 
 
 def test_a_server_that_rejected_an_attempt_is_paused(two_servers: PolicyDriver) -> None:
@@ -46,50 +46,74 @@
 
 def test_the_pause_doubles_with_each_rejection_in_a_row_until_an_attempt_succeeds() -> None:
     """Seen after a release: draining servers rejected hundreds of attempts, of limiters with an old list."""
-    driver = make_driver(server_count=1, plans=NO_QUOTA)
-    server = driver.server_record(0)
-    pauses = []
-    for request_id in range(8):
-        driver.request(request_id)
-        [sent] = driver.in_flight()
-        ended_at = driver.now
-        driver.end_attempt(sent, Outcome.OK if request_id == 6 else Outcome.REJECTED)
-        pauses.append(max(0.0, server.paused_until - ended_at))
-        driver.now = max(driver.now, server.paused_until) + 1.0
-    factors = [1, 2, 4, 8, 16, 16, 0, 1]
-    assert pauses == [factor * SAMPLE_INTERVAL_MS for factor in factors]
+    driver = make_driver(server_count=1, max_attempts=1, plans=NO_QUOTA)
+    for factor in (1, 2, 4, 8, 16, 16):
+        reject_next_attempt(driver)
+        assert_paused_for(driver, factor * SAMPLE_INTERVAL_MS)
+    driver.request(len(driver.requests))
+    driver.complete_in_flight()
+    assert_paused_for(driver, 0.0)
+    reject_next_attempt(driver)
+    assert_paused_for(driver, SAMPLE_INTERVAL_MS)
+
+
+def reject_next_attempt(driver: PolicyDriver) -> None:
+    """Make a request, and let the server reject its attempt."""
+    driver.request(len(driver.requests))
+    [sent] = driver.in_flight()
+    driver.end_attempt(sent, Outcome.REJECTED)
+
+
+def assert_paused_for(driver: PolicyDriver, pause: float) -> None:
+    """Check that the only server gets an attempt `pause` ms from now, and none a moment before."""
+    ends_at = driver.now + pause
+    if pause:
+        driver.now = ends_at - 0.001
+        driver.request(len(driver.requests))
+        assert not driver.in_flight()
+    driver.now = ends_at
+    driver.request(len(driver.requests))
+    [sent] = driver.in_flight()
+    driver.end_attempt(sent, Outcome.CANCELLED)
+
+
+def record_latency(driver: PolicyDriver, index: int, latency: float) -> None:
+    """Let an attempt at server `index` succeed now, after this time."""
+    success = AttemptEnded(0, 0, endpoint_id(index), Outcome.OK, latency, request_finished=True)
+    driver.engine.outliers.record_outcome(driver.now, driver.server(index).health, success)
 
 
 def test_an_old_latency_weighs_less_in_the_cost(two_servers: PolicyDriver) -> None:
     """The server may have recovered since."""
     cost = two_servers.engine.selector.cost
-    two_servers.engine.outliers.mean_latency = 100.0
-    server = two_servers.server_record(0)
-    server.latency = 5000.0
-    server.last_outcome_at = 0.0
+    record_latency(two_servers, 1, 100.0)
+    record_latency(two_servers, 0, 5000.0)
+    server = two_servers.server(0)
     assert cost(100000.0, server) < 0.1 * cost(0.0, server)
 
 
 def test_an_attempt_long_in_flight_raises_the_cost_unless_it_was_overtaken(
     two_servers: PolicyDriver,
 ) -> None:
-    """A silent server is known before its attempts time out."""
+    """An unresponsive server is known before its attempts time out."""
     cost = two_servers.engine.selector.cost
-    two_servers.engine.outliers.mean_latency = 100.0
-    server = two_servers.server_record(0)
-    server.in_flight[(1, 0)] = 0.0
-    server.in_flight[(2, 0)] = 2500.0
-    server.last_sent_at = 2500.0
+    record_latency(two_servers, 1, 100.0)
+    server = two_servers.server(0)
+    server.start_attempt(1, 0, now=0.0)
+    server.start_attempt(2, 0, now=2500.0)
     assert cost(3000.0, server) > 5 * cost(50.0, server)
-    server.last_success_sent_at = 2500.0  # a later one succeeded: the first was lost on its way
+    server.start_attempt(3, 0, now=2500.0)
+    server.end_attempt(3, 0, is_success=True)  # A later one succeeded: the first was lost on its way.
     assert cost(3000.0, server) < 5 * cost(50.0, server)
 
 
 def test_a_restarted_server_starts_without_a_record(two_servers: PolicyDriver) -> None:
     """Its failures were those of the process before."""
-    two_servers.server_record(0).failure_rate = 0.9
+    failure = AttemptEnded(0, 0, endpoint_id(0), Outcome.ERROR, 1.0, request_finished=True)
+    two_servers.engine.outliers.record_outcome(two_servers.now, two_servers.server(0).health, failure)
+    assert two_servers.server(0).health.failure_rate > 0.0
     two_servers.feed(EndpointsChanged((endpoint(0, started=5.0),), is_full_list=False))
-    assert two_servers.server_record(0).failure_rate == 0.0
+    assert two_servers.server(0).health.failure_rate == 0.0
 
 
 def test_server_selection_compares_a_bounded_number_of_servers(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -98,7 +122,7 @@
     compared = []
     cost = driver.engine.selector.cost
 
-    def recording_cost(now: float, server: ServerRecord) -> float:
+    def recording_cost(now: float, server: Server) -> float:
         compared.append(server.endpoint.id)
         return cost(now, server)
 
--- a/tests/policy/test_smoothing.py
+++ b/tests/policy/test_smoothing.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limiter.policy.smoothing import clamp, decay_factor, ewma_step, weight_of_newest
+from limiter.policy.smoothing import clamp, decay_factor, ewma_step, ewma_step_or_first, weight_of_newest
 
 
 def test_a_sample_moves_the_average_by_its_weight() -> None:
@@ -15,6 +15,11 @@
     assert ewma_step(10.0, 20.0, 0.0) == 10.0
 
 
+def test_the_first_sample_is_the_average() -> None:
+    assert ewma_step_or_first(0.0, 20.0, 0.2) == 20.0
+    assert ewma_step_or_first(10.0, 20.0, 0.2) == 12.0
+
+
 def test_a_value_decays_to_a_fraction_in_its_time_constant() -> None:
     assert decay_factor(0.0, 3000.0) == 1.0
     assert decay_factor(3000.0, 3000.0) == pytest.approx(1 / math.e)
--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -32,9 +32,10 @@
     Outcome,
     TimerFired,
 )
-from limiter.model.records import CustomerRecord, ServerRecord
+from limiter.model.records import CustomerRecord
 from limiter.model.settings import DedupScope, Idempotency, QuotaPlan, RequestClass, Settings
 from limiter.policy.engine import PolicyEngine
+from limiter.policy.server_table import Server
 
 # The driver's own list, so that a change of the model's list does not change the check.
 NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.REQUEST_OVER}
@@ -294,13 +295,13 @@
         return self.engine.buckets.table.records[key]
 
     @property
-    def server_records(self) -> dict[bytes, ServerRecord]:
+    def servers(self) -> dict[bytes, Server]:
         """What the engine holds of each server, by its id."""
-        return self.engine.selector.table.records
+        return self.engine.selector.table.by_id
 
-    def server_record(self, index: int) -> ServerRecord:
+    def server(self, index: int) -> Server:
         """What the engine holds of server `index`."""
-        return self.server_records[endpoint_id(index)]
+        return self.servers[endpoint_id(index)]
 
     def record_remote_usage(self, customer: CustomerRecord, units: float) -> None:
         """Record now that the other limiters used `units` since the last sample."""
