--- a/limiter/policy/server_selection.py
+++ b/limiter/policy/server_selection.py
@@ -8,9 +8,9 @@
 from heapq import nsmallest
 
 from limiter.model.events import EndpointsChanged
-from limiter.model.records import RequestRecord
 from limiter.model.settings import DedupScope, Idempotency
 from limiter.policy.context import PolicyContext
+from limiter.policy.open_request import OpenRequest
 from limiter.policy.outlier_detection import OutlierDetector
 from limiter.policy.server_table import Server, ServerTable
 from limiter.policy.slow_start import SlowStart
@@ -56,7 +56,7 @@
         for server in self.table.update(change):
             self.slow_start.register(server)
 
-    def choose(self, now: float, request: RequestRecord) -> Server | None:
+    def choose(self, now: float, request: OpenRequest) -> Server | None:
         """Return the server for the next attempt of a request; None where none may take it."""
         candidates = [server for server in self._candidates(request) if not server.health.is_paused(now)]
         untried = [server for server in candidates if server.endpoint.id not in request.tried]
@@ -66,7 +66,7 @@
         cheapest = nsmallest(count, candidates, lambda server: self.cost(now, server))
         return self.slow_start.choose(now, cheapest)
 
-    def _candidates(self, request: RequestRecord) -> list[Server]:
+    def _candidates(self, request: OpenRequest) -> list[Server]:
         """Return the servers that the request may be sent to, some of them drawn in a large fleet.
 
         A retry that only one zone or cell knows as a repeat is bound to that.
--- a/scale/process/phases.py
+++ b/scale/process/phases.py
@@ -7,24 +7,48 @@
 import time
 from collections import Counter as Tally
 from dataclasses import dataclass
-from typing import Any
+from typing import TypedDict
 
 from hdrh.histogram import HdrHistogram
 
+from scale.experiment import ResultLine
 from scale.process.clients import Clients
 from scale.process.environment import Environment
 from scale.process.fleet import GOSSIP_INTAKE_PER_S
+from scale.process.fleet_load import LimiterFleet, fleet_load
 from scale.process.limiter_process import LimiterProcess
 from scale.process.plan import ProcessExperiment
-from scale.process.tier_load import Tier, tier_load
 
-ANSWER_TIMEOUT_SECONDS = 4.0  # after the last request: its deadline and a second
-MAX_LATENCY_US = 60_000_000  # of the histogram
+# Time from the last request until a missing response counts as lost: the request's deadline and a second.
+RESPONSE_TIMEOUT_SECONDS = 4.0
+# Highest latency that the histogram holds.
+MAX_LATENCY_US = 60_000_000
+
+
+class ResponseFigures(TypedDict):
+    """Responses to the clients' requests of a phase."""
+
+    requests: int
+    answers: dict[str, int]  # number of responses by status
+    lost: int  # requests without a response
+    added_p50_ms: float | None
+    added_p99_ms: float | None
+
+
+class FleetFigures(TypedDict):
+    """Load of a whole fleet of limiters on the roles that they share."""
+
+    counter_calls_a_request: float
+    counter_calls_per_s: float
+    discovery_calls_per_s: float
+    discovery_entries_per_s: float
+    told_every_s: float  # interval between two gossip messages of one limiter
+    datagrams_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """What stand-ins do in a phase, by their rates a second."""
+    """What emulated peers do in a phase, by their rates a second."""
 
     name: str
     datagrams: float = 0.0
@@ -34,20 +58,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """What a phase took."""
+    """Time of a phase, processor time of the limiter, and what the emulated peers counted meanwhile."""
 
     seconds: float
-    processor_seconds: float  # of the limiter
-    counts: Tally[str]  # what the stand-ins counted
+    processor_seconds: float  # processor time of the limiter
+    counts: Tally[str]  # what the emulated peers counted
 
     @property
     def cores(self) -> float:
-        """Processor seconds a second."""
+        """Processor seconds of the limiter a second."""
         return round(self.processor_seconds / self.seconds, 4)
 
 
 def phases_of(experiment: ProcessExperiment) -> tuple[Phase, ...]:
-    """Each phase has what the one before it has and one thing more, so that differences are that thing's."""
+    """Each phase has the load of the one before and one kind more, whose cost is the difference."""
     datagrams = experiment.datagrams_per_s
     changes = experiment.changes_per_s
     return (
@@ -58,24 +82,24 @@
     )
 
 
-async def play_phases(environment: Environment, limiter: LimiterProcess) -> list[dict[str, Any]]:
-    """Play all phases on a limiter that is ready; the figures of each."""
-    assert limiter.address is not None  # ready
+async def play_phases(environment: Environment, limiter: LimiterProcess) -> list[ResultLine]:
+    """Run all phases on a limiter that is ready; return the figures of each."""
+    assert limiter.address is not None
     clients = environment.start_clients(limiter.address)
-    lines: list[dict[str, Any]] = []
-    cores_before: float | None = None  # of the phase before
+    lines: list[ResultLine] = []
+    cores_before: float | None = None  # figure of the phase before
     for phase in phases_of(environment.experiment):
         await asyncio.sleep(environment.experiment.settle_s)
         measurement = await _play_phase(environment, limiter, clients, phase)
-        await _wait_for_answers(clients)
+        await _wait_for_responses(clients)
         additional_cores = 0.0 if cores_before is None else measurement.cores - cores_before
         cores_before = measurement.cores
         lines.append(
             {
                 **_cost_figures(phase, measurement, additional_cores),
-                **_answer_figures(clients),
-                "stand_ins_late_p99_ms": _percentile_ms(environment.delays, 99.0),
-                "tier": _tier_figures(environment, phase, measurement.counts, clients.sent),
+                **_response_figures(clients),
+                "stand_ins_late_p99_ms": _percentile_ms(environment.delays_s, 99.0),
+                "tier": _fleet_figures(environment, phase, measurement.counts, clients.sent),
             }
         )
     return lines
@@ -84,32 +108,32 @@
 async def _play_phase(
     environment: Environment, limiter: LimiterProcess, clients: Clients, phase: Phase
 ) -> Measurement:
-    seconds = environment.experiment.phase_s
-    environment.delays.clear()
+    phase_s = environment.experiment.phase_s
+    environment.delays_s.clear()
     counts_before = environment.counts()
     started_at = time.monotonic()
     processor_before = limiter.processor_seconds()
     async with asyncio.TaskGroup() as group:
-        group.create_task(asyncio.sleep(seconds))
-        group.create_task(environment.repeat(environment.peers.send, phase.datagrams, seconds))
-        group.create_task(environment.repeat(environment.discovery.change, phase.changes, seconds))
-        group.create_task(environment.repeat(clients.send_request, phase.requests, seconds))
-    elapsed = time.monotonic() - started_at
+        group.create_task(asyncio.sleep(phase_s))
+        group.create_task(environment.repeat(environment.peers.send, phase.datagrams, phase_s))
+        group.create_task(environment.repeat(environment.discovery.change, phase.changes, phase_s))
+        group.create_task(environment.repeat(clients.send_request, phase.requests, phase_s))
+    elapsed_s = time.monotonic() - started_at
     processor_seconds = limiter.processor_seconds() - processor_before
     counts = environment.counts()
     counts.subtract(counts_before)
-    return Measurement(elapsed, processor_seconds, counts)
+    return Measurement(elapsed_s, processor_seconds, counts)
 
 
-async def _wait_for_answers(clients: Clients) -> None:
+async def _wait_for_responses(clients: Clients) -> None:
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_SECONDS):
             await clients.wait_until_all_ended()
 
 
-def _cost_figures(phase: Phase, measurement: Measurement, additional_cores: float) -> dict[str, Any]:
-    """Time and counts; the cost of one of what this phase has more than the one before is the latter's."""
-    figures: dict[str, Any] = {
+def _cost_figures(phase: Phase, measurement: Measurement, additional_cores: float) -> ResultLine:
+    """Time, processor time and counts of a phase, and the cost of one of what it adds to the phase before."""
+    figures: dict[str, object] = {
         "phase": phase.name,
         "seconds": round(measurement.seconds, 3),
         "core": measurement.cores,
@@ -127,23 +151,23 @@
     return figures
 
 
-def _answer_figures(clients: Clients) -> dict[str, Any]:
-    """What came back, by status, and the latency added to what was served.
+def _response_figures(clients: Clients) -> ResponseFigures:
+    """Count responses by status, and measure the latency added to served requests.
 
-    That is the time from writing a request to reading its whole answer, less the server's own time. The
-    stand-ins' share of it, on the same machine, is in.
+    That latency is the time from writing a request to reading its whole response, less the server's own time.
+    It includes what the emulated peers take of the same machine.
     """
     return {
         "requests": clients.sent,
         "answers": {str(status): count for status, count in sorted(clients.statuses.items())},
         "lost": clients.sent - clients.statuses.total(),
-        "added_p50_ms": _percentile_ms(clients.added_latencies, 50.0),
-        "added_p99_ms": _percentile_ms(clients.added_latencies, 99.0),
+        "added_p50_ms": _percentile_ms(clients.added_latencies_s, 50.0),
+        "added_p99_ms": _percentile_ms(clients.added_latencies_s, 99.0),
     }
 
 
 def _percentile_ms(seconds: list[float], percentile: float) -> float | None:
-    """In ms; None of nothing."""
+    """Compute a percentile in ms; None without values."""
     if not seconds:
         return None
     histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
@@ -153,13 +177,13 @@
     return value_us / 1000
 
 
-def _tier_figures(
+def _fleet_figures(
     environment: Environment, phase: Phase, counts: Tally[str], requests: int
-) -> dict[str, Any] | None:
-    """The load of a whole tier of such limiters on its roles; None where the phase has no requests."""
+) -> FleetFigures | None:
+    """The load of a fleet of such limiters on the roles that they share; None in a phase without requests."""
     if not phase.requests:
         return None
-    tier = Tier(
+    fleet = LimiterFleet(
         limiters=environment.limiters,
         discovery_is_pushed=environment.experiment.discovery == "pushed",
         changes_per_s=phase.changes,
@@ -167,9 +191,9 @@
         counter_calls_per_request=counts["counter_calls"] / max(1, requests),
         gossip_intake_per_s=GOSSIP_INTAKE_PER_S,
     )
-    load = tier_load(tier)
+    load = fleet_load(fleet)
     return {
-        "counter_calls_a_request": round(tier.counter_calls_per_request, 4),
+        "counter_calls_a_request": round(fleet.counter_calls_per_request, 4),
         "counter_calls_per_s": round(load.counter_calls, 1),
         "discovery_calls_per_s": round(load.discovery_calls, 1),
         "discovery_entries_per_s": round(load.discovery_entries, 1),
