--- a/limiter/configuration/config.py
+++ b/limiter/configuration/config.py
@@ -5,11 +5,12 @@
 import ipaddress
 import json
 import math
-from collections.abc import Iterable, Iterator, Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 from typing import Any
 
-from limiter.codecs.settings_text import SettingsText, parse_settings
+from limiter.configuration.settings_json import flatten_settings
+from limiter.configuration.settings_reader import SettingsReader, read_settings
 from limiter.model.settings import Settings, SettingsError, validate_settings
 
 DEFAULT_DESCRIPTORS = 1024  # where the configuration states no limit
@@ -134,10 +135,10 @@
     raw = document.get("settings")
     if not isinstance(raw, dict):
         raise ConfigError(key="settings", problem="missing or not an object")
-    text = _settings_text(raw)
-    settings = _parse_settings(text)
-    dial_timeout_ms = _parse_positive(text, "limits.dialTimeout", DEFAULT_DIAL_TIMEOUT_MS)
-    keepalive_ms = _parse_positive(text, "limits.keepalive", DEFAULT_KEEPALIVE_MS)
+    reader = _settings_reader(raw)
+    settings = _parse_settings(reader)
+    dial_timeout_ms = _parse_positive(reader, "limits.dialTimeout", DEFAULT_DIAL_TIMEOUT_MS)
+    keepalive_ms = _parse_positive(reader, "limits.keepalive", DEFAULT_KEEPALIVE_MS)
     counter = _parse_counter(document, settings)
     gossip = _parse_gossip(document, settings)
     return Config(
@@ -159,51 +160,25 @@
     )
 
 
-def flatten(value: object, path: str = "") -> Iterator[str]:
-    """Yield nested JSON as the simulator's `path=value` lines, so that one parser reads both."""
-    match value:
-        case dict():
-            for key, item in value.items():
-                yield from flatten(item, f"{path}.{key}" if path else str(key))
-        case [dict(), *_]:
-            yield f"{path}.count={len(value)}"
-            for index, item in enumerate(value):
-                yield from flatten(item, f"{path}.{index}")
-        case list():
-            yield f"{path}={','.join(map(_format_scalar, value))}"
-        case None:
-            return
-        case _:
-            yield f"{path}={_format_scalar(value)}"
-
-
-def _format_scalar(value: object) -> str:
-    if isinstance(value, bool):
-        return "true" if value else "false"
-    if isinstance(value, float) and value.is_integer():
-        return str(int(value))  # an integer may come as 6.0 where the parser reads an int
-    return "_".join(str(value).replace(",", " ").split())
-
-
-def _settings_text(raw: dict[str, Any]) -> SettingsText:
+def _settings_reader(raw: dict[str, Any]) -> SettingsReader:
     try:
-        return SettingsText("\n".join(flatten(raw)).encode())
+        return SettingsReader(flatten_settings(raw))
     except (UnicodeError, RecursionError) as error:  # JSON may hold half a character, or nest without end
         raise ConfigError(key="settings", problem=str(error)) from error
 
 
-def _parse_settings(text: SettingsText) -> Settings:
+def _parse_settings(reader: SettingsReader) -> Settings:
     try:
-        settings = parse_settings(text)
+        settings = read_settings(reader)
         validate_settings(settings)
     except SettingsError as error:
         raise _config_error(error) from error
     return settings
 
 
-def _parse_positive(text: SettingsText, path: str, default: float) -> float:
+def _parse_positive(reader: SettingsReader, path: str, default: float) -> float:
     try:
-        value = text.read_number(path, default)
+        value = reader.read_number(path, default)
     except SettingsError as error:
         raise _config_error(error) from error
     if not (math.isfinite(value) and value > 0):
@@ -212,9 +187,8 @@
 
 
 def _config_error(error: SettingsError) -> ConfigError:
-    """The same error with the setting's place in the file, in one line."""
-    path, _, problem = str(error).replace("\n", " ").partition(": ")
-    return ConfigError(key=f"settings.{path}", problem=problem)
+    """Return the same error with the setting's place in the file."""
+    return ConfigError(key=f"settings.{error.name}", problem=error.problem)
 
 
 def _parse_address(document: dict[str, Any], key: str) -> Address:
--- /dev/null
+++ b/limiter/configuration/settings_reader.py
@@ -0,0 +1,198 @@
+"""Reads settings from a mapping of paths to values, whichever form they were written in.
+
+The simulator's text (`limiter.codecs.settings_text`) and the JSON of a configuration file
+(`limiter.configuration.settings_json`) both become such a mapping. Its paths are dotted: `classes.0.deadline`
+is the deadline of the first request class, and `classes.count` the number of classes.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable, Mapping
+from dataclasses import replace
+from typing import TypeVar
+
+from limiter.model.events import LoadMetric
+from limiter.model.settings import DedupScope, Idempotency, QuotaPlan, RequestClass, Settings, SettingsError
+
+# A value as its form states it. The text form has only `str`, JSON has all four.
+SettingValue = bool | int | float | str
+_Value = TypeVar("_Value")
+
+LOAD_METRICS = {
+    "rif": LoadMetric.IN_FLIGHT,
+    "q": LoadMetric.QUEUED,
+    "busy": LoadMetric.UTILIZATION,
+    "lat_ms": LoadMetric.SERVICE_TIME,
+    "rate": LoadMetric.THROUGHPUT,
+    "fail_rate": LoadMetric.ERROR_RATE,
+}
+IDEMPOTENCY = {
+    "repeatable": Idempotency.IDEMPOTENT,
+    "by_key": Idempotency.IDEMPOTENCY_KEY,
+    "once": Idempotency.NOT_IDEMPOTENT,
+}
+DEDUP_SCOPES = {scope.value: scope for scope in DedupScope}
+FLAGS = {"true": True, "false": False}
+
+
+def format_value(value: SettingValue) -> str:
+    """Return a value as the text form of settings writes it, which is also how messages quote it."""
+    if isinstance(value, bool):
+        return "true" if value else "false"
+    return str(value)
+
+
+class SettingsReader:
+    """Reads single settings by path.
+
+    Each `read_` method takes a path and the value to use where the setting is absent; without such a default
+    the setting is required. A missing or malformed value raises SettingsError, which names the path.
+    """
+
+    def __init__(self, values: Mapping[str, SettingValue]) -> None:
+        """Read from `values`, the settings by their paths."""
+        self._values = values
+
+    def read_number(self, path: str, default: float | None = None) -> float:
+        """Return a number; a text is one if `float` accepts it."""
+        return self._read(path, _to_float, default)
+
+    def read_integer(self, path: str, default: int | None = None) -> int:
+        """Return an integer; a text is one if `int` accepts it."""
+        return self._read(path, _to_integer, default)
+
+    def read_flag(self, path: str, default: bool | None = None) -> bool:
+        """Return whether a setting is true; as text it is `true` or `false`."""
+        return self.read_choice(path, FLAGS, default)
+
+    def read_text(self, path: str, default: str | None = None) -> str:
+        """Return a value as text."""
+        return self._read(path, format_value, default)
+
+    def read_choice(self, path: str, choices: Mapping[str, _Value], default: _Value | None = None) -> _Value:
+        """Return the entry of `choices` under a setting's text; a text without an entry is malformed."""
+        return self._read(path, lambda value: choices[format_value(value)], default)
+
+    def _read(self, path: str, convert: Callable[[SettingValue], _Value], default: _Value | None) -> _Value:
+        value = self._values.get(path)
+        if value is None:
+            if default is None:
+                raise SettingsError(path, "missing")
+            return default
+        try:
+            return convert(value)
+        except (TypeError, ValueError, KeyError) as error:
+            raise SettingsError(path, f"{format_value(value)!r} makes no sense") from error
+
+
+def _to_float(value: SettingValue) -> float:
+    if isinstance(value, bool):
+        raise TypeError
+    try:
+        return float(value)
+    except OverflowError:  # An integer beyond the range of floats, which the text form reads as infinite.
+        return math.inf if int(value) > 0 else -math.inf
+
+
+def _to_integer(value: SettingValue) -> int:
+    if isinstance(value, bool | float):
+        raise TypeError
+    return int(value)
+
+
+def read_settings(reader: SettingsReader) -> Settings:
+    """Return the settings of one limiter, not yet validated.
+
+    Raises:
+        SettingsError: a required setting is missing, or a value cannot be read. Where several settings are
+            wrong, the error names the one that is read first.
+    """
+    request_classes = _read_request_classes(reader)
+    plans = _read_plans(reader)
+    settings = Settings(
+        limiter_index=reader.read_integer("me"),
+        limiter_count=reader.read_integer("peersTotal"),
+        request_classes=request_classes,
+        plans=plans,
+        zone=reader.read_integer("myZone", 0),
+        max_attempts=reader.read_integer("limits.maxAttempts", 1),
+        may_cancel=reader.read_flag("limits.cancelling", False),
+        may_health_check=reader.read_flag("limits.probing", False),
+        has_counter=reader.read_flag("extra.mayCount", False),
+        may_gossip=reader.read_flag("limits.peers", False),
+        gossip_intake_per_second=reader.read_number("extra.mailPerS", 0.0),
+        may_hedge=reader.read_flag("limits.secondCopies", False),
+        honours_retry_after=reader.read_flag("limits.retryAfter", False),
+        max_retry_after=reader.read_number("limits.maxRetryAfter", 0.0),
+        polls_discovery=reader.read_text("discovery", "pushed") == "on_request",
+        poll_interval=reader.read_number("rules.askEvery", 10000.0),
+    )
+    settings = _with_unit_accounting(settings, reader)
+    return _with_slow_start(settings, reader)
+
+
+def _with_unit_accounting(settings: Settings, reader: SettingsReader) -> Settings:
+    """Return the settings with those of the counter, the meter and post-paid units."""
+    return replace(
+        settings,
+        counter_timeout=reader.read_number("extra.countLimit", 50.0),
+        meter_period=reader.read_number("extra.meter", 0.0),
+        post_paid=reader.read_flag("extra.postPaid", False),
+        max_units=reader.read_number("extra.maxUnits", 1.0),
+    )
+
+
+def _with_slow_start(settings: Settings, reader: SettingsReader) -> Settings:
+    """Return the settings with those of servers in slow start."""
+    return replace(
+        settings,
+        slow_start_capacity=reader.read_number("rules.startCapacity", 1.0),
+        slow_start_duration=reader.read_number("rules.rampTime", 0.0),
+        slow_start_overload=reader.read_number("rules.overloadFactor", 1.0),
+        slow_start_window=reader.read_number("rules.fall", 1000.0),
+    )
+
+
+def read_load_fields(reader: SettingsReader) -> tuple[LoadMetric | None, ...]:
+    """Return the metrics of a load report in order; None stands for one that is unknown here."""
+    names = reader.read_text("report.fields", "")
+    if not names:
+        return ()
+    return tuple(LOAD_METRICS.get(name) for name in names.split(","))
+
+
+def _read_request_classes(reader: SettingsReader) -> tuple[RequestClass, ...]:
+    count = reader.read_integer("classes.count")
+    return tuple(_read_request_class(reader, f"classes.{index}") for index in range(count))
+
+
+def _read_request_class(reader: SettingsReader, path: str) -> RequestClass:
+    return RequestClass(
+        latency_objective=reader.read_number(f"{path}.aim"),
+        deadline=reader.read_number(f"{path}.deadline"),
+        idempotency=reader.read_choice(f"{path}.effect", IDEMPOTENCY),
+        dedup_scope=reader.read_choice(f"{path}.group", DEDUP_SCOPES, DedupScope.ALL),
+        dedup_window=reader.read_number(f"{path}.window", 0.0),
+        priority_weight=reader.read_number(f"{path}.worth", 1.0),
+        late_weight=reader.read_number(f"{path}.lateWorth", 0.0),
+        streaming=reader.read_flag(f"{path}.stream", False),
+    )
+
+
+def _read_plans(reader: SettingsReader) -> tuple[QuotaPlan, ...]:
+    count = reader.read_integer("contracts.count")
+    return tuple(_read_plan(reader, f"contracts.{index}") for index in range(count))
+
+
+def _read_plan(reader: SettingsReader, path: str) -> QuotaPlan:
+    return QuotaPlan(
+        rate=reader.read_number(f"{path}.quotaRate", 0.0),
+        burst=reader.read_number(f"{path}.peakUnits", 0.0),
+        max_concurrency=reader.read_integer(f"{path}.open", 0),
+        ceiling_rate=reader.read_number(f"{path}.hardRate", 0.0),
+        ceiling_burst=reader.read_number(f"{path}.capDepth", 0.0),
+        price=reader.read_number(f"{path}.valueFactor", 1.0),
+        over_quota_cost=reader.read_number(f"{path}.beyondCosts", 0.0),
+        over_quota_weight=reader.read_number(f"{path}.extraWorth", 0.0),
+    )
--- a/limiter/simulator/adapter.py
+++ b/limiter/simulator/adapter.py
@@ -10,7 +10,8 @@
 from dataclasses import replace
 from typing import BinaryIO
 
-from limiter.codecs.settings_text import SettingsText, parse_load_fields, parse_settings
+from limiter.codecs.settings_text import decode_settings_text
+from limiter.configuration.settings_reader import SettingsReader, read_load_fields, read_settings
 from limiter.model.events import Event, LoadMetric
 from limiter.policy.engine import PolicyEngine
 from limiter.simulator.action_encoder import encode_action
@@ -30,9 +31,9 @@
         Raises:
             SettingsError: a setting is missing or cannot be used.
         """
-        text = SettingsText(opened.settings_text)
-        self._load_fields = parse_load_fields(text)
-        self.engine = PolicyEngine(parse_settings(text), opened.seed)
+        reader = SettingsReader(decode_settings_text(opened.settings_text))
+        self._load_fields = read_load_fields(reader)
+        self.engine = PolicyEngine(read_settings(reader), opened.seed)
 
     def decode_load_report(self, undecoded: UndecodedLoadReport) -> Event:
         """Return the event with its load report; values of unknown metrics are left out."""
--- /dev/null
+++ b/tests/configuration/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the configuration."""
--- /dev/null
+++ b/tests/configuration/test_settings_forms.py
@@ -0,0 +1,111 @@
+"""Both forms of settings, nested JSON and `path=value` lines, through the one reader."""
+
+from __future__ import annotations
+
+import math
+from typing import Any
+
+import pytest
+
+from limiter.codecs.settings_text import decode_settings_text
+from limiter.configuration.config import ConfigError, parse
+from limiter.configuration.settings_json import flatten_settings
+from limiter.configuration.settings_reader import SettingsReader, format_value, read_settings
+from limiter.model.settings import DedupScope, Idempotency, SettingsError
+from tests.support.in_process_limiter import configuration
+from tests.support.limiter_settings import settings
+
+
+def read_json(**changes: Any) -> SettingsReader:
+    """Return a reader of JSON settings with these top-level keys changed."""
+    return SettingsReader(flatten_settings(settings(**changes)))
+
+
+def test_nested_settings_are_read_like_the_simulators_lines() -> None:
+    """One reader reads both forms, to the same settings."""
+    values = flatten_settings(settings())
+    lines = [f"{path}={format_value(value)}" for path, value in values.items()]
+    assert "classes.count=3" in lines
+    assert "classes.1.effect=by_key" in lines
+    assert "extra.mayCount=false" in lines
+    assert "localities=a,b" in lines
+    assert "limits.dialTimeout=250" in lines
+    parsed = read_settings(SettingsReader(decode_settings_text("\n".join(lines).encode())))
+    assert parsed.request_classes[1].idempotency is Idempotency.IDEMPOTENCY_KEY
+    assert parsed.request_classes[1].dedup_scope is DedupScope.ZONE
+    assert parse(configuration()).settings == parsed
+
+
+@pytest.mark.parametrize(
+    ("value", "integer"),
+    [(3, 3), (3.0, 3), ("3", 3), ("1 000", 1000), ("1_000", 1000), ([3], 3), (1e22, 10**22), (None, 1)],
+)
+def test_integers_in_each_way_that_json_can_state_them(value: object, integer: int) -> None:
+    """An integer may come as 3.0, as text or as the only entry of a list; a null is absent."""
+    assert read_settings(read_json(limits={"maxAttempts": value})).max_attempts == integer
+
+
+@pytest.mark.parametrize(
+    ("value", "number"),
+    [(2, 2.0), (2.5, 2.5), ("2.5", 2.5), ("1_0", 10.0), (10**400, math.inf), (-(10**400), -math.inf)],
+    ids=["integer", "float", "text", "text_with_underscore", "huge", "huge_negative"],
+)
+def test_numbers_in_each_way_that_json_can_state_them(value: object, number: float) -> None:
+    """An integer beyond the range of floats counts as infinite, as it does in the text form."""
+    assert read_settings(read_json(extra={"maxUnits": value})).max_units == number
+
+
+def test_negative_zero_reads_as_zero() -> None:
+    """The sign would show in a message about the value."""
+    value = read_settings(read_json(extra={"maxUnits": -0.0})).max_units
+    assert math.copysign(1.0, value) == 1.0
+
+
+@pytest.mark.parametrize(
+    ("changes", "message"),
+    [
+        ({"me": True}, "me: 'true' makes no sense"),
+        ({"me": 0.5}, "me: '0.5' makes no sense"),
+        ({"me": "a, b"}, "me: 'a_b' makes no sense"),
+        ({"me": [1, 2.0]}, "me: '1,2' makes no sense"),
+        ({"me": []}, "me: '' makes no sense"),
+        ({"me": [[1]]}, "me: '[1]' makes no sense"),
+        ({"me": None}, "me: missing"),
+        ({"me": {}}, "me: missing"),
+        ({"extra": {"mayCount": 1}}, "extra.mayCount: '1' makes no sense"),
+        ({"extra": {"maxUnits": False}}, "extra.maxUnits: 'false' makes no sense"),
+        ({"contracts": []}, "contracts.count: missing"),
+        ({"classes": [{"aim": 1, "deadline": "late"}]}, "classes.0.deadline: 'late' makes no sense"),
+    ],
+)
+def test_a_senseless_json_value_is_named_in_the_text_forms_words(
+    changes: dict[str, Any], message: str
+) -> None:
+    """The message quotes the value as the text form would state it."""
+    with pytest.raises(SettingsError) as raised:
+        read_settings(read_json(**changes))
+    assert str(raised.value) == message
+
+
+@pytest.mark.parametrize(
+    "document",
+    [
+        {"limits.maxAttempts": 7},
+        {" limits": {"maxAttempts ": 7}},
+        {"limits.maxAttempts=7": 8},
+        {"x\nlimits.maxAttempts": 7},
+        {"limits": {"maxAttempts": 5}, "limits.maxAttempts": 7},
+    ],
+)
+def test_keys_that_make_lines_of_their_own_are_read_as_these_lines(document: dict[str, Any]) -> None:
+    """A dotted key, or one with blanks, an equals sign or a line break, means what its line would mean."""
+    reader = SettingsReader(flatten_settings(document))
+    assert reader.read_text("limits.maxAttempts")[0] == "7"
+
+
+def test_text_that_utf_8_cannot_encode_is_an_error_of_the_settings() -> None:
+    """The message gives the place in the settings as lines."""
+    with pytest.raises(ConfigError) as raised:
+        parse(configuration(settings={"a": 1, "b": "\ud800"}))
+    place = "character '\\ud800' in position 6: surrogates not allowed"
+    assert str(raised.value) == f"settings: 'utf-8' codec can't encode {place}"
--- a/tests/transport/test_lifecycle.py
+++ b/tests/transport/test_lifecycle.py
@@ -13,11 +13,9 @@
 
 import pytest
 
-from limiter.codecs.settings_text import SettingsText, parse_settings
-from limiter.configuration.config import flatten, parse
+from limiter.configuration.config import parse
 from limiter.model.actions import Action
 from limiter.model.events import Event, TimerFired
-from limiter.model.settings import DedupScope, Idempotency
 from limiter.transport.clock import Clock
 from limiter.transport.driver.proxy import Proxy
 from tests.support.client import http_request
@@ -30,20 +28,6 @@
 # Configuration
 
 
-def test_nested_settings_are_read_like_the_simulators_lines() -> None:
-    """One parser reads both forms."""
-    lines = list(flatten(settings()))
-    assert "classes.count=3" in lines
-    assert "classes.1.effect=by_key" in lines
-    assert "extra.mayCount=false" in lines
-    assert "localities=a,b" in lines
-    assert "limits.dialTimeout=250" in lines
-    parsed = parse_settings(SettingsText("\n".join(lines).encode()))
-    assert parsed.request_classes[1].idempotency is Idempotency.IDEMPOTENCY_KEY
-    assert parsed.request_classes[1].dedup_scope is DedupScope.ZONE
-    assert parse(configuration()).settings == parsed
-
-
 # What is wrong: the document, and the setting that the message names.
 BAD_CONFIGURATIONS: dict[str, tuple[Any, str]] = {
     "not JSON": ("{", "RELAY_CONFIG"),
