--- a/scale/experiment.py
+++ b/scale/experiment.py
@@ -9,21 +9,23 @@
 import importlib
 import re
 import tomllib
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import msgspec
 
 from scale.errors import ExperimentError
 
 Experiment = msgspec.Struct
-Record = Callable[[dict[str, Any]], None]
+# A line of results, by key; the values are of JSON's types.
+ResultLine = Mapping[str, object]
+Record = Callable[[ResultLine], None]
 Progress = Callable[[str], None]
 
 KIND_KEY = "kind"
 WRONG_FIELD = re.compile(r"Object (contains unknown|missing required) field `(\w*)`")
-# A problem that names its key, by the key's place within the table that msgspec names.
+# A problem found by a plan's own checks: it begins with the key, as the table that msgspec names has it.
 KEYED_PROBLEM = re.compile(r"([a-z_]+(?:\[\d+\])?(?:\.[a-z_]+)?): (.*)")
 
 
@@ -38,14 +40,19 @@
 KINDS = {
     "hollow": Kind("scale.hollow.plan", "HollowExperiment", "scale.hollow.run"),
     "process": Kind("scale.process.plan", "ProcessExperiment", "scale.process.run"),
-    "module": Kind("scale.process.plan", "ModuleExperiment", "scale.process.module"),
+    "module": Kind("scale.process.plan", "PolicyEngineExperiment", "scale.process.engine_sweep"),
 }
 
 
 def load(path: Path, seed: int | None) -> Experiment:
-    """Read and check an experiment; `seed`, if given, goes before the file's own.
+    """Read and check an experiment.
 
-    Raises ExperimentError.
+    Args:
+        path: of the TOML file.
+        seed: takes the place of the file's own seed, unless it is None.
+
+    Raises:
+        ExperimentError: the file cannot be read, or its content is not valid.
     """
     data = _read_toml(path)
     kind = data.get(KIND_KEY)
@@ -62,12 +69,18 @@
 
 
 def run(experiment: Experiment, record: Record, progress: Progress) -> None:
-    """Play an experiment: `record` takes a line of results at a time, `progress` lines for whoever waits."""
+    """Run an experiment.
+
+    Args:
+        experiment: as `load` returned it.
+        record: takes the result lines, one by one.
+        progress: takes lines of text that show how far the run has come.
+    """
     kind = KINDS[str(type(experiment).__struct_config__.tag)]
     importlib.import_module(kind.runner).run(experiment, record, progress)
 
 
-def _read_toml(path: Path) -> dict[str, Any]:
+def _read_toml(path: Path) -> dict[str, object]:
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -1,78 +1,127 @@
-"""Requests of clients, from their arrival to their one final answer."""
+"""Requests of clients and their attempts, from a request's arrival to its one final outcome."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from collections.abc import Callable
+from typing import Protocol
 
-from limiter.model.events import ClientRequest
+from limiter.model.events import ClientRequest, Event, Outcome
 from scale.hollow.context import Context
 from scale.hollow.quota import Quota
-from scale.hollow.tally import FinalAnswer
+from scale.hollow.server import Server, ServerJob
+from scale.hollow.tally import RequestOutcome
 
-if TYPE_CHECKING:
-    from scale.hollow.attempts import Attempt
-    from scale.hollow.limiters import Limiter
+
+class RequestOwner(Protocol):
+    """The limiter that a request came in through, as far as requests and attempts know it."""
+
+    @property
+    def number(self) -> int:
+        """Number of the limiter within the fleet."""
+
+    @property
+    def zone(self) -> int:
+        """Zone that the limiter runs in."""
+
+    @property
+    def requests(self) -> dict[int, Request]:
+        """Requests that are not over, by id."""
+
+    def feed(self, event: Event) -> None:
+        """Hand an event to the limiter's policy engine, and carry out the actions that it returns."""
 
 
 class Request:
     """One request of a client, a first one or a retry, at one limiter."""
 
     __slots__ = (
-        "answer",
         "arrived",
         "attempt_count",
         "event",
         "expires_at",
         "in_flight",
         "may_have_run",
+        "outcome",
         "quota",
         "work",
     )
 
     def __init__(self, event: ClientRequest, arrived: float, quota: Quota, work: float) -> None:
-        """Wait for the final answer, with no attempt made; `work` in ms of one core."""
+        """Wait for the final outcome, with no attempt made; `work` in ms of one core."""
         self.event = event
         self.arrived = arrived
         self.expires_at = event.expires_at
         self.quota = quota
         self.work = work
-        self.answer: FinalAnswer | None = None
+        self.outcome: RequestOutcome | None = None
         self.attempt_count = 0
         self.may_have_run = False
         self.in_flight: list[Attempt] = []
 
 
+class Attempt(ServerJob):
+    """A request sent to a server: `is_over` if it ended there, `is_ended` if it ended at its limiter."""
+
+    __slots__ = ("_on_reply", "is_ended", "limiter", "number", "request", "sent_at", "server")
+
+    def __init__(
+        self,
+        request: Request,
+        limiter: RequestOwner,
+        server: Server,
+        sent_at: float,
+        on_reply: Callable[[Attempt, Outcome], None],
+    ) -> None:
+        """Make the next attempt of the request; `on_reply` takes the server's response."""
+        super().__init__(request.work)
+        self.request = request
+        self.number = request.attempt_count
+        self.limiter = limiter
+        self.server = server
+        self.sent_at = sent_at
+        self.is_ended = False
+        self._on_reply = on_reply
+
+    def replied(self, outcome: Outcome) -> None:
+        """Take the server's response, which leaves the server now."""
+        self._on_reply(self, outcome)
+
+
 class RequestLedger:
-    """Gives requests their final answers, counts them, and forgets requests that are over."""
+    """Gives requests their final outcomes, counts them, and forgets requests that are over."""
 
     def __init__(self, context: Context) -> None:
         """Count into the context's tally."""
         self._clock = context.clock
         self._tally = context.tally
 
-    def open(self, limiter: Limiter, request: Request) -> None:
+    def open(self, limiter: RequestOwner, request: Request) -> None:
         """Enter a request that a limiter takes."""
         limiter.requests[request.event.id] = request
         self._tally.open_requests += 1
 
-    def answer(self, request: Request, answer: FinalAnswer) -> None:
-        """Give the final answer. Raises AssertionError if there was one: this is what the rig checks."""
-        if request.answer is not None:
-            message = f"request {request.event.id}: {answer.value} after {request.answer.value}"
+    def end(self, request: Request, outcome: RequestOutcome) -> None:
+        """End a request for its client.
+
+        Raises:
+            AssertionError: it had ended before, which every simulation checks.
+        """
+        if request.outcome is not None:
+            message = f"request {request.event.id}: {outcome.value} after {request.outcome.value}"
             raise AssertionError(message)
-        request.answer = answer
+        request.outcome = outcome
         self._tally.open_requests -= 1
-        self._tally.request_answered(request.arrived, self._clock.now, answer, request.event.is_retry)
+        self._tally.request_ended(request.arrived, self._clock.now, outcome, request.event.is_retry)
 
-    def finish(self, limiter: Limiter, request_id: int, answer: FinalAnswer) -> None:
-        """Carry out the module's final answer; one for a request that has been answered is dropped."""
+    def finish(self, limiter: RequestOwner, request_id: int, outcome: RequestOutcome) -> None:
+        """Carry out the policy engine's final outcome; one for a request that has its outcome is dropped."""
         request = limiter.requests.get(request_id)
-        if request is None or request.answer is not None:
+        if request is None or request.outcome is not None:
             return
-        self.answer(request, answer)
+        self.end(request, outcome)
         self.forget_if_over(limiter, request)
 
-    def forget_if_over(self, limiter: Limiter, request: Request) -> None:
-        """Forget a request that is answered and has no attempt in flight."""
-        if request.answer is not None and not request.in_flight:
+    def forget_if_over(self, limiter: RequestOwner, request: Request) -> None:
+        """Forget a request that has its outcome and no attempt in flight."""
+        if request.outcome is not None and not request.in_flight:
             limiter.requests.pop(request.event.id, None)
--- a/scale/process/clients.py
+++ b/scale/process/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in for the clients of the limiter under test."""
+"""Emulation of the clients of the limiter under test, over HTTP."""
 
 from __future__ import annotations
 
@@ -12,21 +12,24 @@
 from scale.process.servers import Servers
 from scale.process.traffic import HEAD_END, content_length
 
-ORDER_SHARE = 0.47  # of requests that must not run twice
+# Share of the requests that are orders, which must not run twice.
+ORDER_SHARE = 0.47
 ORDER_BODY = b'{"station":"41008","wave_m":3.0}'
 
 
 class Clients:
-    """Clients: a request goes on an idle connection, or on a new one."""
+    """Clients that send each request on an idle connection, or on a new one if none is idle."""
 
     def __init__(
         self, address: tuple[str, int], limiters: int, customers: list[int], servers: Servers, rng: Random
     ) -> None:
-        """Send requests to `address`, a limiter of a tier of that size."""
+        """Send requests to `address`, a limiter of a fleet of that size."""
         self.sent = 0
-        self.unanswered = 0  # requests whose connection could not be made, or was closed too early
+        # Requests without a response: their connection could not be made, or was closed too early.
+        self.failed = 0
         self.statuses: Tally[int] = Tally()
-        self.added_latencies: list[float] = []  # s that a served request took longer than at its server
+        # For each served request, how much longer it took at the client than at its server.
+        self.added_latencies_s: list[float] = []
         self._address = address
         self._limiters = limiters
         self._customers = customers
@@ -52,13 +55,13 @@
         task.add_done_callback(self._connecting.discard)
 
     async def wait_until_all_ended(self) -> None:
-        """Wait until every request that was sent is answered, or is known never to be."""
-        while self.statuses.total() + self.unanswered < self.sent:
+        """Wait until every request that was sent has its response, or is known never to get one."""
+        while self.statuses.total() + self.failed < self.sent:
             self._request_ended.clear()
             await self._request_ended.wait()
 
     def close(self) -> None:
-        """Abort all connections."""
+        """Abort all connections; requests on them get no response."""
         for connection in list(self._open):
             connection.abort()
 
@@ -67,20 +70,20 @@
         self._open.add(connection)
 
     def connection_lost(self, connection: _ClientConnection) -> None:
-        """A connection is gone, and the request on it, if any, is never answered."""
+        """A connection is closed, and the request on it, if any, never gets a response."""
         self._open.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
         if connection.request_id is not None:
             connection.request_id = None
-            self._count_unanswered()
+            self._count_failed()
 
-    def answered(self, request_id: bytes, status: int, latency: float) -> None:
-        """A request got its answer `latency` seconds after it was written."""
+    def response_received(self, request_id: bytes, status: int, latency_s: float) -> None:
+        """A request got its whole response, that long after it was written."""
         self.statuses[status] += 1
-        service_time = self._servers.service_times.pop(request_id, None)
-        if status == 200 and service_time is not None:
-            self.added_latencies.append(latency - service_time)
+        service_time_s = self._servers.service_times_s.pop(request_id, None)
+        if status == 200 and service_time_s is not None:
+            self.added_latencies_s.append(latency_s - service_time_s)
         self._request_ended.set()
 
     def connection_idle(self, connection: _ClientConnection) -> None:
@@ -93,16 +96,17 @@
             _, connection = await loop.create_connection(lambda: _ClientConnection(self), *self._address)
             connection.send(request_id, data)
         except OSError:
-            self._count_unanswered()
+            self._count_failed()
 
-    def _count_unanswered(self) -> None:
-        self.unanswered += 1
+    def _count_failed(self) -> None:
+        self.failed += 1
         self._request_ended.set()
 
 
 def request_bytes(customer: int, request_id: str, is_order: bool, limiters: int) -> bytes:
-    """A request as a client writes it; an order is a request that must not run twice."""
-    request_class, method = ("alert-order", "POST") if is_order else ("obs-read", "GET")
+    """Write a request as a client does; an order is a request that must not run twice."""
+    request_class = "alert-order" if is_order else "obs-read"
+    method = "POST" if is_order else "GET"
     body = ORDER_BODY if is_order else b""
     length = f"Content-Length: {len(body)}\r\n" if body else ""
     limiter_set_size = min(MAX_LIMITER_SET_SIZE, limiters)
@@ -124,7 +128,7 @@
 
     def __init__(self, clients: Clients) -> None:
         self._clients = clients
-        self.request_id: bytes | None = None  # of the request on it
+        self.request_id: bytes | None = None  # None while the connection is idle
         self._sent_at = 0.0
         self._received = b""
         self._transport: asyncio.Transport
@@ -152,13 +156,13 @@
         head = self._received[:head_length]
         if len(self._received) < head_length + len(HEAD_END) + content_length(head):
             return
-        self._answer_received(self.request_id, head)
+        self._end_response(self.request_id, head)
 
-    def _answer_received(self, request_id: bytes, head: bytes) -> None:
+    def _end_response(self, request_id: bytes, head: bytes) -> None:
         self._received = b""
         self.request_id = None
         status = int(head.split(b" ", 2)[1])
-        self._clients.answered(request_id, status, time.monotonic() - self._sent_at)
+        self._clients.response_received(request_id, status, time.monotonic() - self._sent_at)
         if b"connection: close" in head.lower():
             self._transport.close()
         else:
--- a/scale/process/endpoint_list.py
+++ b/scale/process/endpoint_list.py
@@ -5,37 +5,43 @@
 import json
 from collections import deque
 from collections.abc import Sequence
-from typing import Any
 
 from scale.process.fleet import MACHINE_TYPE, SERVERS_PER_CELL, ZONES
 
-MAX_KEPT_CHANGES = 100_000  # for watches of older versions
+# Number of changes that are kept for watches of older versions; an older one gets the whole list.
+MAX_KEPT_CHANGES = 100_000
 
 FIRST_VERSION = 1
 
 
 class EndpointList:
-    """The list of servers. Each change of an entry is one version."""
+    """The list of servers; each change of an entry makes a new version."""
 
     def __init__(self, count: int, addresses: Sequence[str]) -> None:
         """List `count` servers; they share the addresses."""
         self.version = FIRST_VERSION
         self._addresses = addresses
-        self._next_number = 0  # of the next server
-        self._entries: dict[int, bytes] = {}  # by number, the oldest first
+        self._next_number = 0  # number that the next server gets
+        # JSON text of each entry by the server's number, in order of joining.
+        self._entries: dict[int, bytes] = {}
         self._draining: deque[int] = deque()
         self._changes: deque[bytes] = deque(maxlen=MAX_KEPT_CHANGES)
-        self._full_document: bytes | None = None  # of the present version, once it is made
+        # The whole list as JSON text; None if it was not requested since the last change.
+        self._full_document: bytes | None = None
         for _ in range(count):
             self._add(0)
 
     @property
     def change_count(self) -> int:
-        """Changes so far."""
+        """Number of changes so far, which is the version less FIRST_VERSION."""
         return self.version - FIRST_VERSION
 
     def change(self, now_ms: int) -> None:
-        """Change one entry: in turn a server joins (`now_ms` is its start), the oldest drains, leaves."""
+        """Change one entry: in turn a server joins, the oldest one drains, and it leaves.
+
+        Args:
+            now_ms: start of a server that joins.
+        """
         step = self.change_count % 3
         if step == 0:
             changed = self._add(now_ms)
@@ -47,18 +53,19 @@
         self.version += 1
         self._full_document = None
 
-    def parsed_document(self) -> Any:
+    def parsed_document(self) -> object:
         """The list as JSON's types: what a configuration has as the list last seen."""
-        return json.loads(self.full_document())
+        document: object = json.loads(self.full_document())
+        return document
 
     def full_document(self) -> bytes:
-        """The body of an answer with the whole list."""
+        """The body of a response with the whole list."""
         if self._full_document is None:
             self._full_document = self._document(True, b",\n".join(self._entries.values()))
         return self._full_document
 
     def changes_since(self, version: int) -> bytes:
-        """The body of an answer with what changed since; the whole list where that is not known any more."""
+        """The body of a response with the changes since a version; the whole list if they are not kept."""
         count = self.version - version
         if not 0 <= count <= len(self._changes):
             return self.full_document()
--- a/tests/configuration/test_settings_forms.py
+++ b/tests/configuration/test_settings_forms.py
@@ -12,8 +12,7 @@
 from limiter.configuration.settings_json import flatten_settings
 from limiter.configuration.settings_reader import SettingsReader, format_value, read_settings
 from limiter.model.settings import DedupScope, Idempotency, SettingsError
-from tests.support.in_process_limiter import configuration
-from tests.support.limiter_settings import settings
+from tests.support.limiter_settings import configuration, settings
 
 
 def read_json(**changes: Any) -> SettingsReader:
--- a/tests/scale/test_hollow_rig.py
+++ b/tests/scale/test_hollow_simulation.py
@@ -1,4 +1,4 @@
-"""The hollow rig: its figures are determined by the seed, and gossip reaches whom it should."""
+"""Simulations of hollow experiments: the seed determines the figures, and gossip reaches whom it should."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 import msgspec
 import pytest
 
+from scale.hollow.gossip_age import GossipMessage
 from scale.hollow.plan import HollowExperiment
-from scale.hollow.rig import Rig
 from scale.hollow.run import check, run
-from scale.hollow.tally import FinalAnswer, Tally
+from scale.hollow.simulation import Simulation
+from scale.hollow.tally import RequestOutcome, Tally
 from tests.support.hollow_experiment import hollow_experiment
 
 MAX_GOSSIP_DELAY_MS = 36
@@ -37,29 +38,29 @@
     return lines
 
 
-def played_rig(experiment: HollowExperiment, unreachable_limiter: int | None = None) -> Rig:
+def played_simulation(experiment: HollowExperiment, unreachable_limiter: int | None = None) -> Simulation:
     """Play the experiment's duration; gossip to one limiter may be dropped."""
-    rig = Rig(experiment)
-    gossip_network = rig.host.gossip_network
+    simulation = Simulation(experiment)
+    gossip_network = simulation.host.gossip_network
     deliver = gossip_network.deliver
 
-    def deliver_unless_unreachable(receiver: int, message: Any) -> None:
+    def deliver_unless_unreachable(receiver: int, message: GossipMessage) -> None:
         if receiver != unreachable_limiter:
             deliver(receiver, message)
 
     gossip_network.deliver = deliver_unless_unreachable
-    rig.run(experiment.duration)
-    return rig
+    simulation.run(experiment.duration)
+    return simulation
 
 
-def test_the_seed_determines_every_byte_and_each_request_has_one_answer() -> None:
+def test_the_seed_determines_every_byte_and_each_request_has_one_outcome() -> None:
     experiment = hollow_experiment(faults=FAULTS, regions=3)
     lines = result_lines(experiment)
     assert lines == result_lines(experiment)
     assert lines != result_lines(msgspec.structs.replace(experiment, seed=2))
     summary = json.loads(lines[0])
-    answers = ("served", "refused", "failed", "lost", "unreachable")
-    assert sum(summary[answer] for answer in answers) == summary["tries"] > 50
+    outcomes = ("served", "refused", "failed", "lost", "unreachable")
+    assert sum(summary[outcome] for outcome in outcomes) == summary["tries"] > 50
     assert summary["served"] > 0
     assert summary["refused"] > 0
     assert summary["unreachable"] > 0
@@ -68,20 +69,20 @@
 
 
 def test_a_second_final_answer_or_none_fails_the_run() -> None:
-    rig = Rig(hollow_experiment())
-    limiter = rig.host.limiters[0]
+    simulation = Simulation(hollow_experiment())
+    limiter = simulation.host.limiters[0]
     while not limiter.requests:
-        rig.run(rig.clock.now + 10.0)
+        simulation.run(simulation.clock.now + 10.0)
     with pytest.raises(AssertionError, match="never answered"):
-        check(rig)
-    request = next(request for request in limiter.requests.values() if request.answer is None)
-    rig.ledger.answer(request, FinalAnswer.SERVED)
+        check(simulation)
+    request = next(request for request in limiter.requests.values() if request.outcome is None)
+    simulation.ledger.end(request, RequestOutcome.SERVED)
     with pytest.raises(AssertionError, match="refused after served"):
-        rig.ledger.answer(request, FinalAnswer.REJECTED)
+        simulation.ledger.end(request, RequestOutcome.REJECTED)
 
 
 def test_all_usage_is_learnt_within_the_gossip_interval_where_no_message_is_dropped() -> None:
-    ages = played_rig(hollow_experiment(network={"peer_loss": 0.0})).gossip_ages
+    ages = played_simulation(hollow_experiment(network={"peer_loss": 0.0})).gossip_ages
     assert ages.expected == ages.learnt > 100
     # The interval is drawn up to a fifth longer.
     assert max(ages.ages) <= 1.2 * GOSSIP_INTERVAL_MS + MAX_GOSSIP_DELAY_MS
@@ -89,29 +90,30 @@
 
 def test_a_limiter_that_receives_no_gossip_shows_up_as_usage_never_learnt() -> None:
     experiment = hollow_experiment(network={"peer_loss": 0.0})
-    assert any(0 in customer.used_limiters for customer in Rig(experiment).customers)
-    ages = played_rig(experiment, unreachable_limiter=0).gossip_ages
+    assert any(0 in customer.used_limiters for customer in Simulation(experiment).customers)
+    ages = played_simulation(experiment, unreachable_limiter=0).gossip_ages
     assert 0 < ages.learnt < ages.expected
 
 
 def test_nothing_is_learnt_where_all_messages_are_dropped() -> None:
-    ages = played_rig(hollow_experiment(network={"peer_loss": 1.0})).gossip_ages
+    ages = played_simulation(hollow_experiment(network={"peer_loss": 1.0})).gossip_ages
     assert ages.learnt == 0 < ages.expected
 
 
 def test_partitioned_regions_receive_no_gossip_of_each_other_until_they_are_connected() -> None:
-    rig = Rig(hollow_experiment(zones=2, regions=2, network={"peer_loss": 0.0}))
+    simulation = Simulation(hollow_experiment(zones=2, regions=2, network={"peer_loss": 0.0}))
     receivers: list[int] = []
-    rig.host.gossip_network.deliver = lambda receiver, _message: receivers.append(receiver)
-    rig.network.partitioned_regions.add(1)
-    rig.host.gossip_network.broadcast(0, "message")
-    rig.clock.run(50.0)
+    message = GossipMessage(0, b"message", {})
+    simulation.host.gossip_network.deliver = lambda receiver, _message: receivers.append(receiver)
+    simulation.network.partitioned_regions.add(1)
+    simulation.host.gossip_network.broadcast(0, message)
+    simulation.clock.run(50.0)
     assert sorted(receivers) == [2, 4, 6]
-    assert math.isinf(rig.network.delay(0, 1))
+    assert math.isinf(simulation.network.delay(0, 1))
     receivers.clear()
-    rig.network.partitioned_regions.clear()
-    rig.host.gossip_network.broadcast(0, "message")
-    rig.clock.run(100.0)
+    simulation.network.partitioned_regions.clear()
+    simulation.host.gossip_network.broadcast(0, message)
+    simulation.clock.run(100.0)
     assert sorted(receivers) == [1, 2, 3, 4, 5, 6, 7]
 
 
