--- a/limiter/model/settings.py
+++ b/limiter/model/settings.py
@@ -23,13 +23,17 @@
 class Idempotency(Enum):
     """Whether a request that may have run can be sent again."""
 
-    IDEMPOTENT = "repeatable"
-    IDEMPOTENCY_KEY = "keyed"
-    NOT_IDEMPOTENT = "once"
+    IDEMPOTENT = "repeatable"  # It can: running it twice does no harm.
+    IDEMPOTENCY_KEY = "keyed"  # It can, to servers that drop repeats by its key (see DedupScope).
+    NOT_IDEMPOTENT = "once"  # It can't.
 
 
 class DedupScope(Enum):
-    """Which servers drop repeats of a request that carries an idempotency key."""
+    """Which servers drop repeats of a request that carries an idempotency key.
+
+    A repeat is dropped if it reaches any server of the fleet (`ALL`), a server in the zone of the one that
+    had the first attempt (`ZONE`), or one in its cell (`CELL`).
+    """
 
     ALL = "all"
     ZONE = "zone"
@@ -38,67 +42,126 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What holds for all requests of one class."""
+    """What all requests of one class have in common: how fast they must be, and how they may be retried.
+
+    Each request names its class. The weights say how much a response is worth, to compare requests with each
+    other when there is not enough capacity for all.
+
+    Attributes:
+        latency_objective: Latency in milliseconds up to which a response is on time.
+        deadline: Milliseconds after which the client has given up.
+        idempotency: Whether a request that may have run can be sent again.
+        dedup_scope: Which servers drop a repeat with the same idempotency key.
+        dedup_window: Milliseconds for which servers remember an idempotency key.
+        priority_weight: Worth of a response that is on time, before the plan's factor (`QuotaPlan.price`).
+        late_weight: Fraction of the priority weight that a late response is still worth.
+        streaming: Whether the response is a stream, whose first part is an event of its own (StreamStarted).
+    """
 
-    latency_objective: float  # an answer later than this earns `late_weight` only
-    deadline: float  # after which the client has given up
+    latency_objective: float
+    deadline: float
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     dedup_scope: DedupScope = DedupScope.ALL
-    dedup_window: float = 0.0  # for which servers remember an idempotency key
-    priority_weight: float = 1.0  # what an answer within the objective earns, before the plan's price
-    late_weight: float = 0.0  # share of the priority weight that a late answer still earns
-    streaming: bool = False  # the answer is a stream, and its first part is an event
+    dedup_window: float = 0.0
+    priority_weight: float = 1.0
+    late_weight: float = 0.0
+    streaming: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaPlan:
-    """The quota of each customer of one plan, over all limiters together."""
+    """The quota of each customer of one plan, enforced over all limiters together.
+
+    A customer has up to three limits: a rate quota, on attempts in flight, and a ceiling. Beyond the quota a
+    request may still be forwarded, at a cost; beyond the ceiling never.
+
+    Attributes:
+        rate: Units a second of the rate quota; 0 where there is none.
+        burst: Units that the token bucket of the rate quota holds.
+        max_concurrency: Limit on the customer's attempts in flight; 0 where there is none.
+        ceiling_rate: Units a second that are never to be exceeded; 0 where there is no ceiling.
+        ceiling_burst: Units that the token bucket of the ceiling holds.
+        price: Factor on the priority weight of requests of this plan.
+        over_quota_cost: Fraction of its weight that a request forwarded beyond the quota costs.
+        over_quota_weight: Fraction of its weight that such a request is still worth.
+    """
 
-    rate: float = 0.0  # units a second; 0: no rate quota
-    burst: float = 0.0  # units that the token bucket of this quota holds
-    max_concurrency: int = 0  # attempts in flight; 0: no such quota
-    ceiling_rate: float = 0.0  # units a second, never to be exceeded; 0: no ceiling
-    ceiling_burst: float = 0.0  # units that the token bucket of the ceiling holds
-    price: float = 1.0  # factor on the priority weight of this plan's requests
-    over_quota_cost: float = 0.0  # share of its weight that a request forwarded beyond the quota costs
-    over_quota_weight: float = 0.0  # share of its weight that such a request still earns
+    rate: float = 0.0
+    burst: float = 0.0
+    max_concurrency: int = 0
+    ceiling_rate: float = 0.0
+    ceiling_burst: float = 0.0
+    price: float = 1.0
+    over_quota_cost: float = 0.0
+    over_quota_weight: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that a limiter is configured with and decides by."""
+    """Everything that the decisions of one limiter depend on, besides its events and its random seed.
+
+    All limiters of a fleet have the same settings but for `limiter_index` and `zone`. `read_settings` in
+    `limiter/configuration/settings_reader.py` has the names under which a configuration states them.
+
+    Attributes:
+        limiter_index: This limiter's number among all limiters, from 0.
+        limiter_count: Number of limiters that share the quotas.
+        request_classes: The classes of requests; a request names its class by the index in this tuple.
+        plans: The plans of customers; a request names its plan by the index in this tuple.
+        zone: Number of the zone that this limiter runs in.
+        max_attempts: Limit on the attempts of each request, the first included.
+        may_cancel: Whether attempts may be cancelled.
+        may_health_check: Whether health checks may be sent to servers.
+        has_counter: Whether the limiters share a counter of units.
+        may_hedge: Whether a request may have two attempts in flight at a time.
+        may_gossip: Whether the limiters send each other gossip.
+        gossip_intake_per_second: Gossip messages a second that a limiter takes in.
+        honours_retry_after: Whether rejected clients get a Retry-After, for which some of them wait.
+        max_retry_after: Longest Retry-After in milliseconds that clients wait for.
+        polls_discovery: Whether limiters poll discovery for the endpoint list; otherwise discovery pushes it.
+        poll_interval: Milliseconds without a poll after which a limiter counts as knowing only the list of
+            its last poll.
+        counter_timeout: Milliseconds after which a counter call has failed.
+        meter_period: Milliseconds over which servers meter a customer's usage; 0 where they don't.
+        post_paid: Whether the units of a request are an estimate until its response states the true ones.
+        max_units: Most units that one request can take.
+        slow_start_capacity: Fraction of its full capacity that a server starts with.
+        slow_start_duration: Milliseconds in which a server rises from that fraction to its full capacity.
+        slow_start_overload: Load that a server in slow start bears, as a multiple of its present capacity.
+        slow_start_window: Milliseconds over which that load is measured.
+    """
 
-    limiter_index: int  # this limiter's number, from 0, among
-    limiter_count: int  # all that share the quotas
+    limiter_index: int
+    limiter_count: int
     request_classes: tuple[RequestClass, ...]
     plans: tuple[QuotaPlan, ...]
     zone: int = 0
-    max_attempts: int = 1  # for each request, the first included
-    may_cancel: bool = False  # attempts
+    max_attempts: int = 1
+    may_cancel: bool = False
     may_health_check: bool = False
-    has_counter: bool = False  # the limiters share a counter
-    may_hedge: bool = False  # a request may have two attempts in flight
-    may_gossip: bool = False  # the limiters send messages to each other
-    gossip_intake_per_second: float = 0.0  # messages that a limiter takes in
-    honours_retry_after: bool = False  # clients are given a Retry-After and some wait for it,
-    max_retry_after: float = 0.0  # up to this long
-    polls_discovery: bool = False  # else discovery pushes the endpoint list
-    poll_interval: float = 10000.0  # without a poll for so long, a limiter counts as knowing the list of then
-    counter_timeout: float = 50.0  # after which a counter call has failed
-    meter_period: float = 0.0  # over which servers meter a customer's use; 0: they do not
-    post_paid: bool = False  # units are estimates until the answer tells the true ones
-    max_units: float = 1.0  # of one request
-    slow_start_capacity: float = 1.0  # share of its full capacity that a server starts with
+    has_counter: bool = False
+    may_hedge: bool = False
+    may_gossip: bool = False
+    gossip_intake_per_second: float = 0.0
+    honours_retry_after: bool = False
+    max_retry_after: float = 0.0
+    polls_discovery: bool = False
+    poll_interval: float = 10000.0
+    counter_timeout: float = 50.0
+    meter_period: float = 0.0
+    post_paid: bool = False
+    max_units: float = 1.0
+    slow_start_capacity: float = 1.0
     slow_start_duration: float = 0.0
-    slow_start_overload: float = 1.0  # times its present capacity that a warming server bears
-    slow_start_window: float = 1000.0  # over which that is measured
+    slow_start_overload: float = 1.0
+    slow_start_window: float = 1000.0
 
 
 def validate_settings(settings: Settings) -> None:
     """Check that a limiter can decide by these settings.
 
     Raises:
-        SettingsError: it names the first setting that cannot be used.
+        SettingsError: A setting cannot be used; the error names the first such setting.
     """
     _check_position(settings)
     if not settings.request_classes:
@@ -159,9 +222,12 @@
 
 
 def _check_number(
-    name: str, value: float, least: float, most: float = math.inf, *, exclusive: bool = False
+    name: str, value: float, minimum: float, maximum: float = math.inf, *, exclusive: bool = False
 ) -> None:
-    """Raise SettingsError unless `least` <= value <= `most`, or `least` < value where it is exclusive."""
+    """Raise SettingsError unless the value is a finite number from `minimum` to `maximum`.
+
+    Where `exclusive` is set, the value must be above `minimum`.
+    """
     is_number = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
-    if not is_number or value < least or value > most or (exclusive and value == least):
+    if not is_number or value < minimum or value > maximum or (exclusive and value == minimum):
         raise SettingsError(name, f"{value!r} is not a number in its range")
