--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -39,19 +39,17 @@
         if request is None:
             return
         now = self._clock.now
-        time_left = request.expires_at - now
+        time_left = request.event.expires_at - now
         timeout = min(action.timeout, time_left) if action.timeout else time_left
         attempt = Attempt(request, limiter, self._servers[action.endpoint_id], now, self._server_replied)
-        request.attempt_count += 1
-        request.in_flight.append(attempt)
         if request.outcome is not None or timeout <= 0 or attempt.number >= self._max_attempts:
-            request.quota.in_flight += 1
+            request.attempt_began(attempt)
             self._clock.call_at(now, self.end, attempt, Outcome.REQUEST_OVER)
             return
         if attempt.number == 0:
             self._record_forwarded(attempt)
-        request.quota.in_flight += 1
-        self._tally.attempts += 1
+        request.attempt_began(attempt)
+        self._tally.attempt_sent()
         server = attempt.server
         self._network.call_after_delay(limiter.zone, server.zone, server.arrive, attempt)
         if timeout < time_left - TIMEOUT_MARGIN_MS:
@@ -71,7 +69,7 @@
         self._tally.attempt_ended(outcome)
         request = attempt.request
         if outcome not in NEVER_RAN:
-            request.may_have_run = True
+            request.ran()
         if outcome is Outcome.OK and request.outcome is None:
             self._ledger.end(request, RequestOutcome.SERVED)
         event = AttemptEnded(
@@ -87,9 +85,7 @@
 
     def release(self, attempt: Attempt) -> None:
         """Take an attempt off its limiter; a server that still works on it is notified."""
-        attempt.is_ended = True
-        attempt.request.in_flight.remove(attempt)
-        attempt.request.quota.in_flight -= 1
+        attempt.end()
         if not attempt.is_over:
             server = attempt.server
             self._network.call_after_delay(attempt.limiter.zone, server.zone, server.leave, attempt)
--- a/scale/hollow/clients.py
+++ b/scale/hollow/clients.py
@@ -151,13 +151,12 @@
         """
         if limiter.incarnation != incarnation or request.event.id not in limiter.requests:
             return
-        request.expires_at = self._clock.now
         for attempt in request.in_flight[:]:
             self._attempts.end(attempt, Outcome.TIMEOUT)
         if request.outcome is None:
             is_idempotent = self._classes[request.event.request_class].is_idempotent
             may_retry = not request.may_have_run or is_idempotent
             self._ledger.end(request, RequestOutcome.REJECTED if may_retry else RequestOutcome.FAILED)
-            self._tally.ended_by_driver += 1
+            self._tally.driver_ended_request()
             limiter.feed(ClientDisconnected(request.event.id))
         self._ledger.forget_if_over(limiter, request)
--- a/scale/hollow/limiters.py
+++ b/scale/hollow/limiters.py
@@ -214,7 +214,7 @@
         message = self._gossip_ages.message_sent(limiter.number, engine, body)
         datagrams = self.gossip_network.broadcast(limiter.number, message)
         limiter.count_gossip_sent(datagrams, body)
-        self._tally.gossip_messages += 1
+        self._tally.gossip_sent()
 
     def _gossip_received(self, receiver: int, message: GossipMessage) -> None:
         limiter = self.limiters[receiver]
--- a/scale/hollow/quota.py
+++ b/scale/hollow/quota.py
@@ -29,6 +29,14 @@
         self._tokens -= units
         return True
 
+    def attempt_began(self) -> None:
+        """Count an attempt as in flight."""
+        self.in_flight += 1
+
+    def attempt_ended(self) -> None:
+        """Count an attempt as not in flight any more."""
+        self.in_flight -= 1
+
     def is_half_free(self, now: float) -> bool:
         """Whether half of the quota or more is unused."""
         self._refill(now)
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -38,7 +38,6 @@
         "arrived",
         "attempt_count",
         "event",
-        "expires_at",
         "in_flight",
         "may_have_run",
         "outcome",
@@ -50,7 +49,6 @@
         """Wait for the final outcome, with no attempt made; `work` in ms of one core."""
         self.event = event
         self.arrived = arrived
-        self.expires_at = event.expires_at
         self.quota = quota
         self.work = work
         self.outcome: RequestOutcome | None = None
@@ -58,6 +56,32 @@
         self.may_have_run = False
         self.in_flight: list[Attempt] = []
 
+    def attempt_began(self, attempt: Attempt) -> None:
+        """Enter the next attempt of the request."""
+        self.attempt_count += 1
+        self.in_flight.append(attempt)
+        self.quota.attempt_began()
+
+    def attempt_ended(self, attempt: Attempt) -> None:
+        """Take an attempt that ended at the limiter off those in flight."""
+        self.in_flight.remove(attempt)
+        self.quota.attempt_ended()
+
+    def ran(self) -> None:
+        """Note that an attempt may have run at its server, so that another one might repeat its effect."""
+        self.may_have_run = True
+
+    def end(self, outcome: RequestOutcome) -> None:
+        """Set the one final outcome.
+
+        Raises:
+            AssertionError: the request had ended before, which every simulation checks.
+        """
+        if self.outcome is not None:
+            message = f"request {self.event.id}: {outcome.value} after {self.outcome.value}"
+            raise AssertionError(message)
+        self.outcome = outcome
+
 
 class Attempt(ServerJob):
     """A request sent to a server: `is_over` if it ended there, `is_ended` if it ended at its limiter."""
@@ -82,6 +106,11 @@
         self.is_ended = False
         self._on_reply = on_reply
 
+    def end(self) -> None:
+        """End at the limiter, which passes over all that the server does from now on."""
+        self.is_ended = True
+        self.request.attempt_ended(self)
+
     def replied(self, outcome: Outcome) -> None:
         """Take the server's response, which leaves the server now."""
         self._on_reply(self, outcome)
@@ -98,19 +127,16 @@
     def open(self, limiter: RequestOwner, request: Request) -> None:
         """Enter a request that a limiter takes."""
         limiter.requests[request.event.id] = request
-        self._tally.open_requests += 1
+        self._tally.request_opened()
 
     def end(self, request: Request, outcome: RequestOutcome) -> None:
         """End a request for its client.
 
         Raises:
-            AssertionError: it had ended before, which every simulation checks.
+            AssertionError: it had ended before.
         """
-        if request.outcome is not None:
-            message = f"request {request.event.id}: {outcome.value} after {request.outcome.value}"
-            raise AssertionError(message)
-        request.outcome = outcome
-        self._tally.open_requests -= 1
+        request.end(outcome)
+        self._tally.request_closed()
         self._tally.request_ended(request.arrived, self._clock.now, outcome, request.event.is_retry)
 
     def finish(self, limiter: RequestOwner, request_id: int, outcome: RequestOutcome) -> None:
--- a/scale/hollow/tally.py
+++ b/scale/hollow/tally.py
@@ -65,6 +65,26 @@
         """A client sends a request now."""
         self.requests += now >= self._warm_up
 
+    def request_opened(self) -> None:
+        """A limiter takes a request."""
+        self.open_requests += 1
+
+    def request_closed(self) -> None:
+        """A request that a limiter took has its final outcome."""
+        self.open_requests -= 1
+
+    def driver_ended_request(self) -> None:
+        """A limiter's driver ends a request at its deadline, before the policy engine did."""
+        self.ended_by_driver += 1
+
+    def gossip_sent(self) -> None:
+        """A limiter sends a message to all others."""
+        self.gossip_messages += 1
+
+    def attempt_sent(self) -> None:
+        """A limiter sends an attempt to a server."""
+        self.attempts += 1
+
     def request_ended(self, arrived: float, now: float, outcome: RequestOutcome, is_retry: bool) -> None:
         """A request that arrived at `arrived` ends with that outcome now."""
         self.ended_requests += 1
--- a/scale/process/engine_benchmark.py
+++ b/scale/process/engine_benchmark.py
@@ -66,6 +66,10 @@
         self._limiter_set_size = min(float(MAX_LIMITER_SET_SIZE), float(limiters))
         self._last_round_at = -UPDATE_INTERVAL_MS
 
+    def advance(self, duration_ms: float) -> None:
+        """Let time pass."""
+        self.now += duration_ms
+
     def feed(self, name: str, event: Event) -> list[Action]:
         """Handle an event; a round that is due comes before it, under `round_between`."""
         if self.now - self._last_round_at >= UPDATE_INTERVAL_MS:
--- a/scale/process/engine_sweep.py
+++ b/scale/process/engine_sweep.py
@@ -162,7 +162,7 @@
 
     def _change_servers(self) -> None:
         for endpoint in _changes(self._size.servers, self._experiment.changes, self._bench.now):
-            self._bench.now += CHANGE_INTERVAL_MS
+            self._bench.advance(CHANGE_INTERVAL_MS)
             self._bench.feed("change", EndpointsChanged((endpoint,), is_full_list=False))
 
     def _receive_gossip_of_all(self) -> None:
@@ -170,7 +170,7 @@
         entries = self._experiment.entries
         messages = max(math.ceil(self._size.customers / entries), self._size.limiters - 1)
         for index in range(messages):
-            self._bench.now += FIRST_GOSSIP_INTERVAL_MS
+            self._bench.advance(FIRST_GOSSIP_INTERVAL_MS)
             first = index * entries % self._size.customers
             body = gossip_message(self._rng, self._population[first : first + entries])
             self._bench.receive_gossip(next(self._senders), body)
@@ -186,7 +186,7 @@
                 next_gossip_at += GOSSIP_INTERVAL_MS
                 self._receive_gossip_of_some()
             attempts = bench.request(number, customer)
-            bench.now += interval_ms
+            bench.advance(interval_ms)
             rejected += not attempts
             for attempt in attempts:
                 bench.end_attempt(attempt)
--- a/tests/scale/test_hollow_simulated_peers.py
+++ b/tests/scale/test_hollow_simulated_peers.py
@@ -190,10 +190,10 @@
 
 def test_a_quota_on_concurrency_counts_attempts_in_flight() -> None:
     quota = Quota(PlanParameters(share=1.0, rate=2.0, max_concurrency=2))
-    quota.in_flight = 1
+    quota.attempt_began()
     assert quota.take(0.0, 1.0)
     assert quota.is_half_free(0.0)
-    quota.in_flight = 2
+    quota.attempt_began()
     assert not quota.take(0.0, 1.0)
     assert not quota.is_half_free(0.0)
 
