--- a/scale/hollow/counter.py
+++ b/scale/hollow/counter.py
@@ -54,7 +54,7 @@
             self._clock.call_at(called_at + delay, self._arrived, zone, call, on_reply, called_at)
 
     def fail(self) -> None:
-        """Begin an outage."""
+        """Begin an outage: calls time out until `restore`."""
         self.is_down = True
 
     def restore(self) -> None:
--- a/scale/hollow/discovery.py
+++ b/scale/hollow/discovery.py
@@ -47,7 +47,7 @@
             self._clock.call_at(due, self._learn, endpoint, self._observed_count)
 
     def fail(self) -> None:
-        """Begin an outage."""
+        """Begin an outage: changes are held back until `restore`."""
         self.is_down = True
 
     def restore(self) -> None:
--- a/scale/process/engine_benchmark.py
+++ b/scale/process/engine_benchmark.py
@@ -67,7 +67,7 @@
         self._last_round_at = -UPDATE_INTERVAL_MS
 
     def advance(self, duration_ms: float) -> None:
-        """Let time pass."""
+        """Let time pass on the clock of the engine, without an event."""
         self.now += duration_ms
 
     def feed(self, name: str, event: Event) -> list[Action]:
