--- /dev/null
+++ b/limiter/process/reload.py
@@ -0,0 +1,42 @@
+"""Reload of the configuration on SIGHUP: discovery and the counter may have new addresses."""
+
+from __future__ import annotations
+
+import logging
+import os
+
+from limiter.configuration.config import Address, ConfigError, reload
+from limiter.transport.discovery.discovery_watch import DiscoveryWatch
+from limiter.transport.driver.proxy import Proxy
+
+log = logging.getLogger("limiter")
+
+
+def reload_configuration(discovery: DiscoveryWatch, proxy: Proxy) -> None:
+    """Read the configuration file again and go to the discovery and the counter that it names now.
+
+    A file that is half written or has an error is logged, and the present configuration is kept: it must not
+    stop the service.
+    """
+    try:
+        config = reload(os.environ)
+    except ConfigError as error:
+        _log_rejected(error)
+        return
+    discovery.move(config.discovery)
+    if proxy.counter is not None and config.counter is not None:
+        proxy.counter.move(config.counter)
+    log.info(
+        "configuration_reloaded discovery=%s counter=%s",
+        _format_address(config.discovery),
+        _format_address(config.counter),
+    )
+
+
+def _log_rejected(error: ConfigError) -> None:
+    log.error("configuration_rejected key=%s problem=%s", error.key, error.problem)
+
+
+def _format_address(address: Address | None) -> str:
+    """Format an address as `host:port`, or `none`, for the log."""
+    return "none" if address is None else "{}:{}".format(*address)
--- a/tests/transport/test_graceful_shutdown.py
+++ b/tests/transport/test_graceful_shutdown.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from limiter import __main__
 from limiter.model.settings import QuotaPlan, RequestClass, Settings
+from limiter.process import shutdown
 from limiter.transport.clients.connection_registry import IDLE_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS
 from tests.support.client import http_request
 from tests.support.fake_server import FakeServer, ReceivedRequest, never_answer
@@ -76,15 +76,15 @@
 
 def test_a_partial_request_is_served_when_listening_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its client may finish it until the shutdown's end."""
-    monkeypatch.setattr(__main__, "ACCEPT_AFTER_SIGTERM_SECONDS", 0.0)
-    monkeypatch.setattr(__main__, "FLUSH_SECONDS", 0.0)
+    monkeypatch.setattr(shutdown, "ACCEPT_AFTER_SIGTERM_SECONDS", 0.0)
+    monkeypatch.setattr(shutdown, "FLUSH_SECONDS", 0.0)
 
     async def main() -> None:
         async with in_process_limiter(FakeServer("s-0")) as (proxy, listener):
             client = RawClient(listener)
             client.send(http_request()[:40])
             await wait_until(lambda: listener.registry.partial)
-            draining = asyncio.create_task(__main__.drain(listener, proxy))
+            draining = asyncio.create_task(shutdown.shut_down_gracefully(listener, proxy))
             await wait_until(lambda: listener.socket.fileno() < 0, "listening has ended")
             client.send(http_request()[40:])
             assert (await client.response())[1] == b"from s-0"
@@ -124,5 +124,5 @@
     for deadline_ms, kill_after_seconds in ((400.0, 1.1), (3000.0, 3.7), (8000.0, 3.7)):
         classes = (RequestClass(100.0, 200.0), RequestClass(100.0, deadline_ms))
         parsed = Settings(limiter_index=0, limiter_count=1, request_classes=classes, plans=(QuotaPlan(),))
-        ends_after_seconds = __main__.shutdown_seconds(parsed) + __main__.FLUSH_SECONDS
+        ends_after_seconds = shutdown.shutdown_seconds(parsed) + shutdown.FLUSH_SECONDS
         assert kill_after_seconds - 0.3 < ends_after_seconds < kill_after_seconds
--- a/tests/transport/test_startup.py
+++ b/tests/transport/test_startup.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from limiter import __main__
 from limiter.configuration.config import parse
+from limiter.process import startup
 from tests.support.client import Connection, Response, http_request
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer
@@ -44,7 +44,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """No request goes to a server that drained while the limiter did not run."""
-    monkeypatch.setattr(__main__, "DISCOVERY_WAIT_SECONDS", 10 * PATIENCE_SECONDS)
+    monkeypatch.setattr(startup, "DISCOVERY_WAIT_SECONDS", 10 * PATIENCE_SECONDS)
 
     async def main() -> None:
         draining = FakeServer("s-0")
@@ -58,7 +58,7 @@
         port = free_port()
         listen = f"127.0.0.1:{port}"
         document = configuration(listen=listen, discovery=discovery.address, seed="1", known=known)
-        limiter = asyncio.create_task(__main__.run(parse(document)))
+        limiter = asyncio.create_task(startup.run(parse(document)))
         await wait_until(lambda: discovery.targets, "discovery is polled")
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", port)
