--- a/limiter/process/reload.py
+++ b/limiter/process/reload.py
@@ -6,13 +6,12 @@
 import os
 
 from limiter.configuration.config import Address, ConfigError, reload
-from limiter.transport.discovery.discovery_watch import DiscoveryWatch
 from limiter.transport.driver.proxy import Proxy
 
 log = logging.getLogger("limiter")
 
 
-def reload_configuration(discovery: DiscoveryWatch, proxy: Proxy) -> None:
+def reload_configuration(proxy: Proxy) -> None:
     """Read the configuration file again and go to the discovery and the counter that it names now.
 
     A file that is half written or has an error is logged, and the present configuration is kept: it must not
@@ -23,7 +22,7 @@
     except ConfigError as error:
         _log_rejected(error)
         return
-    discovery.move(config.discovery)
+    proxy.discovery.move(config.discovery)
     if proxy.counter is not None and config.counter is not None:
         proxy.counter.move(config.counter)
     log.info(
--- a/limiter/process/startup.py
+++ b/limiter/process/startup.py
@@ -14,7 +14,6 @@
 from limiter.process.shutdown import shut_down_gracefully
 from limiter.transport.clients.listener import Listener
 from limiter.transport.clock import Clock
-from limiter.transport.discovery.discovery_watch import DiscoveryWatch, NameNumbering, PollPacing
 from limiter.transport.driver.proxy import Proxy
 
 # Longest wait for discovery's first response. After that the endpoint list of the configuration has to do: a
@@ -33,19 +32,17 @@
     """
     loop = asyncio.get_running_loop()
     clock = Clock()
-    with (
-        closing(Proxy(loop, config, clock)) as proxy,
-        closing(_watch_discovery(loop, config, proxy)) as discovery,
-    ):
+    with closing(Proxy(loop, config, clock)) as proxy:
+        proxy.discovery.known(config.known_endpoints)
         stop_requested = asyncio.Event()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, stop_requested.set)
-        loop.add_signal_handler(signal.SIGHUP, reload_configuration, discovery, proxy)
-        discovery.start()
+        loop.add_signal_handler(signal.SIGHUP, reload_configuration, proxy)
+        proxy.discovery.start()
         _exclude_from_garbage_collection()
         # Servers may have drained while this process did not run, so no request is accepted before discovery
         # has responded.
-        await _wait_for_any(DISCOVERY_WAIT_SECONDS, discovery.first_response, stop_requested)
+        await _wait_for_any(DISCOVERY_WAIT_SECONDS, proxy.discovery.first_response, stop_requested)
         listener = Listener(loop, config, proxy, clock)
         host, port = listener.socket.getsockname()[:2]
         log.info("listening name=%s address=%s:%d", config.name, host, port)
@@ -66,23 +63,6 @@
     return granted
 
 
-def _watch_discovery(loop: asyncio.AbstractEventLoop, config: Config, proxy: Proxy) -> DiscoveryWatch:
-    """Make a watch that is not started yet; the proxy has the list of the configuration."""
-    settings = config.settings
-    discovery = DiscoveryWatch(
-        loop,
-        config.discovery,
-        NameNumbering(config.zone_names, config.kind_names),
-        config.dial_timeout_ms,
-        PollPacing.of(settings.limiter_count, pushed=not settings.polls_discovery),
-        proxy.servers_changed,
-        proxy.discovery_failed,
-    )
-    proxy.poll_discovery = discovery.call
-    discovery.known(config.known_endpoints)
-    return discovery
-
-
 def _exclude_from_garbage_collection() -> None:
     """Exclude what exists now from later collections: it lives as long as the process."""
     gc.collect()
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -35,6 +35,7 @@
 from limiter.policy.engine import PolicyEngine
 from limiter.transport.clock import Clock
 from limiter.transport.counter.counter_client import CounterClient
+from limiter.transport.discovery.discovery_watch import DiscoveryWatch, NameNumbering, PollPacing
 from limiter.transport.driver.request_forwarder import RequestForwarder
 from limiter.transport.gossip.gossip_socket import GossipSocket
 from limiter.transport.servers.server_pool import ServerPool
@@ -67,9 +68,8 @@
         self.requests = self.forwarder.requests
         self.counter = self._make_counter(config)
         self._gossip = self._make_gossip(config)
+        self.discovery = self._make_discovery(config)  # polls nothing until it is started
         self._ready_servers: set[bytes] = set()
-        # Set by whoever watches discovery: called when the next poll may be made.
-        self.poll_discovery: Callable[[], None] = lambda: None
         self._actions = self._action_handlers()
         self._sweep_timer = loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
@@ -86,6 +86,18 @@
             return None
         return GossipSocket(self._loop, config.gossip, config.settings.limiter_index, self._gossip_received)
 
+    def _make_discovery(self, config: Config) -> DiscoveryWatch:
+        settings = config.settings
+        return DiscoveryWatch(
+            self._loop,
+            config.discovery,
+            NameNumbering(config.zone_names, config.kind_names),
+            config.dial_timeout_ms,
+            PollPacing.of(settings.limiter_count, pushed=not settings.polls_discovery),
+            self.servers_changed,
+            self._discovery_failed,
+        )
+
     def _action_handlers(self) -> dict[type, Callable[[Any], None]]:
         return {
             SendAttempt: self.forwarder.send_attempt,
@@ -130,7 +142,7 @@
         endpoints = tuple(endpoint for endpoint, _ in servers)
         self._handle_event(EndpointsChanged(endpoints, is_full_list, from_cache))
 
-    def discovery_failed(self, rejected: bool) -> None:
+    def _discovery_failed(self, rejected: bool) -> None:
         """Note that a poll brought no list; `rejected` says that discovery turned it away."""
         self._handle_event(DiscoveryPollFailed(rejected))
 
@@ -185,7 +197,7 @@
         log.info("policy_message text=%s", action.text)
 
     def _poll_discovery(self, _: PollDiscovery) -> None:
-        self.poll_discovery()
+        self.discovery.call()
 
     def _ignore(self, _: SendHealthCheck) -> None:
         pass
@@ -199,6 +211,7 @@
     def close(self) -> None:
         """Close all sockets and connections."""
         self._sweep_timer.cancel()
+        self.discovery.close()
         if self.counter is not None:
             self.counter.close()
         if self._gossip is not None:
