--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -5,11 +5,11 @@
 import asyncio
 import logging
 import math
-from collections.abc import Callable
-from typing import Any
+from typing import assert_never
 
 from limiter.configuration.config import Address, Config
 from limiter.model.actions import (
+    Action,
     BroadcastGossip,
     CancelAttempt,
     FailRequest,
@@ -70,7 +70,6 @@
         self._gossip = self._make_gossip(config)
         self.discovery = self._make_discovery(config)  # polls nothing until it is started
         self._ready_servers: set[bytes] = set()
-        self._actions = self._action_handlers()
         self._sweep_timer = loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     def _make_counter(self, config: Config) -> CounterClient | None:
@@ -98,20 +97,6 @@
             self._discovery_failed,
         )
 
-    def _action_handlers(self) -> dict[type, Callable[[Any], None]]:
-        return {
-            SendAttempt: self.forwarder.send_attempt,
-            CancelAttempt: self.forwarder.cancel_attempt,
-            RejectRequest: self._reject_request,
-            FailRequest: self._fail_request,
-            IncrementCounter: self._increment_counter,
-            SetTimer: self._set_timer,
-            BroadcastGossip: self._broadcast_gossip,
-            LogMessage: self._log_message,
-            PollDiscovery: self._poll_discovery,
-            SendHealthCheck: self._ignore,  # the settings allow none
-        }
-
     @property
     def ready(self) -> bool:
         """Whether a server is known that may be sent to."""
@@ -156,18 +141,27 @@
 
     def _handle_event(self, event: Event) -> None:
         for action in self.engine.handle(self._clock(), event):
-            self._actions[type(action)](action)
-
-    def _reject_request(self, action: RejectRequest) -> None:
-        request = self.requests.by_number.get(action.request_id)
-        if request is not None:
-            status = 503 if request.attempt_count else 429
-            self.requests.respond(request, status, retry_after_ms=action.retry_after)
-
-    def _fail_request(self, action: FailRequest) -> None:
-        request = self.requests.by_number.get(action.request_id)
-        if request is not None:
-            self.requests.respond(request, 502)
+            self._carry_out(action)
+
+    def _carry_out(self, action: Action) -> None:
+        # The most frequent actions come first: each class is compared in turn.
+        match action:
+            case SendAttempt() | RejectRequest() | FailRequest() | CancelAttempt():
+                self.forwarder.carry_out(action)
+            case SetTimer():
+                self._set_timer(action)
+            case IncrementCounter():
+                self._increment_counter(action)
+            case BroadcastGossip():
+                self._broadcast_gossip(action)
+            case PollDiscovery():
+                self.discovery.call()
+            case LogMessage():
+                log.info("policy_message text=%s", action.text)
+            case SendHealthCheck():
+                pass  # The limiter's settings allow no health checks.
+            case _:
+                assert_never(action)
 
     def _increment_counter(self, action: IncrementCounter) -> None:
         if self.counter is not None:
@@ -193,15 +187,6 @@
         if self._gossip is not None:
             self._gossip.broadcast(action.body)
 
-    def _log_message(self, action: LogMessage) -> None:
-        log.info("policy_message text=%s", action.text)
-
-    def _poll_discovery(self, _: PollDiscovery) -> None:
-        self.discovery.call()
-
-    def _ignore(self, _: SendHealthCheck) -> None:
-        pass
-
     # The process
 
     def _sweep(self) -> None:
--- a/limiter/transport/driver/request_forwarder.py
+++ b/limiter/transport/driver/request_forwarder.py
@@ -6,8 +6,9 @@
 import time
 from collections.abc import Callable
 from functools import partial
+from typing import assert_never
 
-from limiter.model.actions import CancelAttempt, SendAttempt
+from limiter.model.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt
 from limiter.model.events import NEVER_RAN, AttemptEnded, ClientDisconnected, Event, Outcome
 from limiter.model.settings import Idempotency, Settings
 from limiter.policy.throttle import UPDATE_INTERVAL_MS
@@ -20,6 +21,10 @@
 TIMER_TOLERANCE_MS = 0.5
 
 
+# Actions on a client's request.
+RequestAction = SendAttempt | RejectRequest | FailRequest | CancelAttempt
+
+
 class RequestForwarder:
     """Carries out the policy's attempts and reports their ends; ends requests at their deadlines."""
 
@@ -40,6 +45,24 @@
         self.requests = RequestTable()
         self._handle_event = handle_event
 
+    def carry_out(self, action: RequestAction) -> None:
+        """Carry out an action of the policy; without effect on a request that is released."""
+        request = self.requests.by_number.get(action.request_id)
+        if request is None:
+            return
+        match action:
+            case SendAttempt():
+                self._send_attempt(request, action)
+            case RejectRequest():
+                status = 503 if request.attempt_count else 429
+                self.requests.respond(request, status, retry_after_ms=action.retry_after)
+            case FailRequest():
+                self.requests.respond(request, 502)
+            case CancelAttempt():
+                self._cancel_attempt(request, action.attempt)
+            case _:
+                assert_never(action)
+
     # Requests
 
     def submit(self, request: ProxiedRequest) -> None:
@@ -88,11 +111,8 @@
 
     # Attempts
 
-    def send_attempt(self, action: SendAttempt) -> None:
+    def _send_attempt(self, request: ProxiedRequest, action: SendAttempt) -> None:
         """Send the request to a server."""
-        request = self.requests.by_number.get(action.request_id)
-        if request is None:
-            return  # released, so it had its response and all its outcomes
         remaining_ms = request.expires_at - self._clock()
         timeout_ms = min(action.timeout, remaining_ms) if action.timeout else remaining_ms
         data = b"%bX-Deadline-Ms: %d\r\n\r\n%b" % (request.head, max(1, int(timeout_ms)), request.body)
@@ -114,13 +134,10 @@
         has_own_timeout = timeout_ms < remaining_ms - TIMER_TOLERANCE_MS
         self._pool.send(attempt, timeout_ms / 1000 if has_own_timeout else None)
 
-    def cancel_attempt(self, action: CancelAttempt) -> None:
+    def _cancel_attempt(self, request: ProxiedRequest, number: int) -> None:
         """Stop waiting for an attempt."""
-        request = self.requests.by_number.get(action.request_id)
-        if request is None:
-            return
         for attempt in request.in_flight:
-            if attempt.number == action.attempt:
+            if attempt.number == number:
                 self._loop.call_soon(self._pool.abandon, attempt, Outcome.CANCELLED)
 
     def _finish_if_hung_up(self, request: ProxiedRequest) -> bool:
