--- a/limiter/transport/clients/client_connection.py
+++ b/limiter/transport/clients/client_connection.py
@@ -53,7 +53,7 @@
         """Make of a request what is to be submitted, or its response."""
 
     def submit(self, request: ProxiedRequest) -> None:
-        """Start a prepared request; its response is written by `ClientConnection.answer`."""
+        """Start a prepared request; its response is written by `ClientConnection.write_response`."""
 
     def client_disconnected(self, request: ProxiedRequest) -> None:
         """Finish a prepared request whose client no longer gets its response."""
@@ -199,7 +199,7 @@
         if self.current is None and self.pipelined:
             self._start(self.pipelined.popleft())
 
-    def answer(
+    def write_response(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
         """Write the response to the current request."""
@@ -240,8 +240,8 @@
         """Whether a request, or the client's end, waits in the kernel."""
         return self.transport is not None and not self.transport.is_closing() and unread(self.transport)
 
-    def hung_up(self) -> bool:
-        """Whether the client has gone, also where the loop has not come to read its end."""
+    def has_hung_up(self) -> bool:
+        """Return whether the client has closed its connection, even if the loop has not read that yet."""
         return self.transport is None or hung_up(self.transport)
 
     def close(self) -> None:
--- a/limiter/transport/clients/request_handler.py
+++ b/limiter/transport/clients/request_handler.py
@@ -40,14 +40,13 @@
         except BadRequestError as error:
             return LocalResponse(400, b"%b\n" % str(error).encode())
         client_request_id = request.headers[b"x-request-id"]
-        if client_request_id in self._requests.client_request_ids:
+        if not self._requests.claim_client_request_id(client_request_id):
             # Forwarded, it would run a second time, or as another client's request.
             return DUPLICATE_ID
         body = b"".join(request.body_parts)
         head = b"%b %b HTTP/1.1\r\n%b" % (request.method, request.target, b"".join(request.forwarded_lines))
         if body or request.method == b"POST":
             head += b"Content-Length: %d\r\n" % len(body)
-        self._requests.client_request_ids.add(client_request_id)
         return ProxiedRequest(connection, event, client_request_id, head, body)
 
     def submit(self, request: ProxiedRequest) -> None:
--- a/limiter/transport/driver/proxied_request.py
+++ b/limiter/transport/driver/proxied_request.py
@@ -6,20 +6,20 @@
 import itertools
 from typing import Protocol
 
-from limiter.model.events import ClientRequest
+from limiter.model.events import NEVER_RAN, ClientRequest, Outcome
 from limiter.transport.servers.attempt import Attempt
 
 
 class ResponseSink(Protocol):
     """Where the final response goes."""
 
-    def answer(
+    def write_response(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
         """Write the final response."""
 
-    def hung_up(self) -> bool:
-        """Return whether the client has gone."""
+    def has_hung_up(self) -> bool:
+        """Return whether the client has closed its connection."""
 
     def close(self) -> None:
         """Close the connection without a response."""
@@ -28,18 +28,18 @@
 class ProxiedRequest:
     """A client's request from its last byte until it is finished and no attempt is in flight.
 
-    It is finished once, by its final response or by the client's leaving: `finish` alone does that. Attempts
-    in flight may outlive that; the request table releases it after the last of them.
+    It is finished once, by its final response or by its client's disconnecting: `finish` alone does that.
+    Attempts in flight may outlive that; the request table releases the request after the last of them.
     """
 
     __slots__ = (
+        "_client",
+        "_deadline_timer",
+        "_expires_at_ms",
         "attempt_count",
         "body",
-        "client",
         "client_request_id",
-        "deadline_timer",
         "event",
-        "expires_at",
         "finished",
         "head",
         "in_flight",
@@ -54,40 +54,114 @@
         head: bytes,
         body: bytes,
     ) -> None:
-        """`head` is the request line and headers for the server, without the deadline and the blank line."""
-        self.client: ResponseSink | None = client
+        """Describe a request that was read and is not submitted yet.
+
+        Args:
+            client: Where its final response goes.
+            event: What the policy decides on.
+            client_request_id: The id that the client gave it.
+            head: Request line and headers for the server, without the deadline and the blank line.
+            body: The body for the server.
+        """
+        self._client: ResponseSink | None = client
         self.event = event
         self.client_request_id = client_request_id
         self.head = head
         self.body = body
-        self.expires_at = event.expires_at  # ms, on the clock of the events
-        self.attempt_count = 0
+        self._expires_at_ms = event.expires_at  # on the clock of the events
+        self.attempt_count = 0  # attempts that were begun, which is also the number of the next
         self.in_flight: list[Attempt] = []
-        self.may_have_run = False
+        self.may_have_run = False  # on a server, as far as the outcomes of its attempts tell
         self.finished = False
-        self.deadline_timer: asyncio.TimerHandle | None = None
+        self._deadline_timer: asyncio.TimerHandle | None = None
+
+    # Its end
 
     def finish(self) -> ResponseSink | None:
-        """Mark it finished; return where its response goes, None where that is settled already."""
-        client = self.client
-        self.client = None
+        """Mark it finished; return where its response goes, None if it was finished before."""
+        client = self._client
+        self._client = None
         self.finished = True
         return client
 
+    def finish_if_hung_up(self) -> bool:
+        """Finish it if its client has hung up; return whether it is finished.
+
+        Ask before anything is sent for it: after a long turn of the loop, or a wait for the processor, the
+        client's end may be still unread.
+        """
+        client = self._client
+        if client is not None and client.has_hung_up():
+            self.finish()
+            client.close()
+        return self.finished
+
+    # Its deadline
+
+    def remaining_ms(self, now_ms: float) -> float:
+        """Return the time until its deadline in milliseconds, below 0 after it."""
+        return self._expires_at_ms - now_ms
+
+    def expire(self, now_ms: float) -> None:
+        """Bring its deadline forward to now, so that no time is left for another attempt."""
+        self._expires_at_ms = now_ms
+
+    def deadline_timer_started(self, timer: asyncio.TimerHandle) -> None:
+        """Keep the timer that ends the request at its deadline."""
+        self._deadline_timer = timer
+
+    def deadline_timer_fired(self) -> None:
+        """Let go of the timer, which cannot be cancelled any more."""
+        self._deadline_timer = None
+
+    def cancel_deadline_timer(self) -> None:
+        """Cancel the timer; without effect if none is set."""
+        if self._deadline_timer is not None:
+            self._deadline_timer.cancel()
+            self._deadline_timer = None
+
+    # Its attempts
+
+    def attempt_started(self, attempt: Attempt) -> None:
+        """Note that an attempt was begun."""
+        self.attempt_count += 1
+        self.in_flight.append(attempt)
+
+    def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Note that an attempt has ended."""
+        self.in_flight.remove(attempt)
+        if outcome not in NEVER_RAN:
+            self.may_have_run = True
+
 
 class RequestTable:
     """All requests that were submitted and not released, by number, and the clients' ids in use."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Make a table without requests."""
         self.by_number: dict[int, ProxiedRequest] = {}
-        self.client_request_ids: set[bytes] = set()  # of requests read and not yet released
+        self.client_request_ids: set[bytes] = set()  # of requests that were read and are not released
         self._numbers = itertools.count()
 
     def next_number(self) -> int:
         """Return a number for a new request."""
         return next(self._numbers)
 
+    def claim_client_request_id(self, client_request_id: bytes) -> bool:
+        """Take an id for a request that was read; return False if another request has it."""
+        if client_request_id in self.client_request_ids:
+            return False
+        self.client_request_ids.add(client_request_id)
+        return True
+
+    def add(self, request: ProxiedRequest) -> None:
+        """Enter a request that is submitted."""
+        self.by_number[request.event.id] = request
+
+    def is_submitted(self, request: ProxiedRequest) -> bool:
+        """Return whether a request was submitted and is not released."""
+        return request.event.id in self.by_number
+
     def unanswered(self) -> list[ProxiedRequest]:
         """Return the requests that are still owed a response."""
         return [request for request in self.by_number.values() if not request.finished]
@@ -105,15 +179,13 @@
             return
         client = request.finish()
         if client is not None:
-            client.answer(status, body, content_type, retry_after_ms)
+            client.write_response(status, body, content_type, retry_after_ms)
         self.release_if_done(request)
 
     def release_if_done(self, request: ProxiedRequest) -> None:
         """Release what is finished and has no attempt in flight: no record or timer may outlive it."""
         if not request.finished or request.in_flight:
             return
-        if request.deadline_timer is not None:
-            request.deadline_timer.cancel()
-            request.deadline_timer = None
+        request.cancel_deadline_timer()
         self.by_number.pop(request.event.id, None)
         self.client_request_ids.discard(request.client_request_id)
--- a/limiter/transport/driver/request_forwarder.py
+++ b/limiter/transport/driver/request_forwarder.py
@@ -5,11 +5,10 @@
 import asyncio
 import time
 from collections.abc import Callable
-from functools import partial
 from typing import assert_never
 
 from limiter.model.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt
-from limiter.model.events import NEVER_RAN, AttemptEnded, ClientDisconnected, Event, Outcome
+from limiter.model.events import AttemptEnded, ClientDisconnected, Event, Outcome
 from limiter.model.settings import Idempotency, Settings
 from limiter.policy.throttle import UPDATE_INTERVAL_MS
 from limiter.transport.clock import Clock
@@ -67,53 +66,67 @@
 
     def submit(self, request: ProxiedRequest) -> None:
         """Take a new request and let the policy decide on it."""
-        self.requests.by_number[request.event.id] = request
-        delay_ms = max(0.0, request.expires_at - self._clock())
-        request.deadline_timer = self._loop.call_later(delay_ms / 1000, self._deadline_reached, request)
+        self.requests.add(request)
+        self._start_deadline_timer(request, max(0.0, request.remaining_ms(self._clock())))
         self._handle_event(request.event)
 
     def client_disconnected(self, request: ProxiedRequest) -> None:
-        """Finish a request whose client has gone; attempts that have begun to leave go on."""
-        is_submitted = request.event.id in self.requests.by_number
-        if request.finished and not is_submitted:
-            return  # noticed before, and released: its id may be another request's by now
+        """Finish a request whose client has disconnected.
+
+        Attempts that have begun to be written go on: they may run, and the policy is owed their outcomes.
+        """
+        is_submitted = self.requests.is_submitted(request)
         was_finished = request.finished
+        if was_finished and not is_submitted:
+            # It was noticed before and released: the client's id may be another request's by now.
+            return
         request.finish()
         for attempt in request.in_flight:
             self._pool.cancel_unsent(attempt, Outcome.CANCELLED)
-        if is_submitted and not was_finished:  # else the policy has not seen it, or has seen its end
+        # The policy has not seen a request that is not submitted, and has seen the end of a finished one.
+        if is_submitted and not was_finished:
             self._handle_event(ClientDisconnected(request.event.id))
         self.requests.release_if_done(request)
 
     def end(self, request: ProxiedRequest) -> None:
-        """End a request now: its attempts time out, so that the policy responds; else it is done here."""
-        request.expires_at = self._clock()  # no time for the attempt that the policy may want next
+        """End a request now: its attempts time out, and it gets its response.
+
+        The policy may respond as the attempts time out. If it does not, the response is made here.
+        """
+        request.expire(self._clock())
         for attempt in request.in_flight[:]:
             self._pool.abandon(attempt)
         if not request.finished:
-            # 503 says that a retry is harmless: only where nothing ran or a repeat does no harm.
-            idempotency = self._request_classes[request.event.request_class].idempotency
-            is_retry_harmless = not request.may_have_run or idempotency is Idempotency.IDEMPOTENT
-            if is_retry_harmless:
-                self.requests.respond(request, 503, retry_after_ms=UPDATE_INTERVAL_MS)
-            else:
-                self.requests.respond(request, 504)
+            self._respond_at_deadline(request)
             self._handle_event(ClientDisconnected(request.event.id))
         self.requests.release_if_done(request)
 
+    def _respond_at_deadline(self, request: ProxiedRequest) -> None:
+        # 503 promises that a retry does no harm: nothing ran, or the request is idempotent.
+        idempotency = self._request_classes[request.event.request_class].idempotency
+        is_retry_harmless = not request.may_have_run or idempotency is Idempotency.IDEMPOTENT
+        if is_retry_harmless:
+            self.requests.respond(request, 503, retry_after_ms=UPDATE_INTERVAL_MS)
+        else:
+            self.requests.respond(request, 504)
+
+    def _start_deadline_timer(self, request: ProxiedRequest, delay_ms: float) -> None:
+        timer = self._loop.call_later(delay_ms / 1000, self._deadline_reached, request)
+        request.deadline_timer_started(timer)
+
     def _deadline_reached(self, request: ProxiedRequest) -> None:
-        early_ms = request.expires_at - self._clock()
-        if early_ms > TIMER_TOLERANCE_MS:
-            request.deadline_timer = self._loop.call_later(early_ms / 1000, self._deadline_reached, request)
-            return
-        request.deadline_timer = None
-        self.end(request)
+        request.deadline_timer_fired()
+        remaining_ms = request.remaining_ms(self._clock())
+        if remaining_ms > TIMER_TOLERANCE_MS:
+            self._start_deadline_timer(request, remaining_ms)
+        else:
+            self.end(request)
 
     # Attempts
 
     def _send_attempt(self, request: ProxiedRequest, action: SendAttempt) -> None:
         """Send the request to a server."""
-        remaining_ms = request.expires_at - self._clock()
+        remaining_ms = request.remaining_ms(self._clock())
         timeout_ms = min(action.timeout, remaining_ms) if action.timeout else remaining_ms
         data = b"%bX-Deadline-Ms: %d\r\n\r\n%b" % (request.head, max(1, int(timeout_ms)), request.body)
         attempt = Attempt(
@@ -122,12 +135,10 @@
             action.endpoint_id,
             data,
             self._attempt_ended,
-            partial(self._finish_if_hung_up, request),
+            request.finish_if_hung_up,
         )
-        request.attempt_count += 1
-        request.in_flight.append(attempt)
-        is_over = self._finish_if_hung_up(request)
-        if is_over or timeout_ms <= 0 or attempt.number >= self._max_attempts:
+        request.attempt_started(attempt)
+        if request.finish_if_hung_up() or timeout_ms <= 0 or attempt.number >= self._max_attempts:
             self._loop.call_soon(attempt.end, Outcome.REQUEST_OVER)
             return
         # One that may last to the end of its request is ended by the request's own timer.
@@ -140,22 +151,9 @@
             if attempt.number == number:
                 self._loop.call_soon(self._pool.abandon, attempt, Outcome.CANCELLED)
 
-    def _finish_if_hung_up(self, request: ProxiedRequest) -> bool:
-        """Whether nothing more may be sent for it; asked where an attempt begins.
-
-        After a turn that was long, or a wait for the processor, the client's end may be behind what led here.
-        """
-        if not request.finished and request.client is not None and request.client.hung_up():
-            client = request.finish()
-            if client is not None:
-                client.close()
-        return request.finished
-
     def _attempt_ended(self, attempt: Attempt, outcome: Outcome, body: bytes, content_type: bytes) -> None:
         request: ProxiedRequest = attempt.owner
-        request.in_flight.remove(attempt)
-        if outcome not in NEVER_RAN:
-            request.may_have_run = True
+        request.attempt_ended(attempt, outcome)
         if outcome is Outcome.OK:
             self.requests.respond(request, 200, body, content_type)
         self._handle_event(
