--- a/limiter/transport/clients/client_connection.py
+++ b/limiter/transport/clients/client_connection.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import time
 from collections import deque
 from typing import Protocol, cast
 
@@ -24,8 +23,8 @@
 class ConnectionObserver(Protocol):
     """Is notified of each change of a connection's state."""
 
-    def connection_opened(self, connection: ClientConnection) -> None:
-        """A client has connected; sets `overflow` where it is one connection too many."""
+    def connection_opened(self, connection: ClientConnection) -> bool:
+        """A client has connected; return whether its requests may be served, else it is one too many."""
 
     def request_started(self, connection: ClientConnection) -> None:
         """Part of a request has come; called for each part."""
@@ -46,8 +45,13 @@
 class RequestHandler(Protocol):
     """Decides what becomes of the requests that a connection reads."""
 
-    draining: bool  # each connection is closed with its next response
-    stopped: bool  # no request is submitted any more
+    @property
+    def is_draining(self) -> bool:
+        """Whether each connection is closed with its next response."""
+
+    @property
+    def is_stopped(self) -> bool:
+        """Whether no request is submitted any more."""
 
     def prepare(self, connection: ClientConnection, request: ParsedRequest) -> ProxiedRequest | LocalResponse:
         """Make of a request what is to be submitted, or its response."""
@@ -66,14 +70,13 @@
         "_close_after_response",
         "_discarded_bytes",
         "_handler",
+        "_is_overflow",
         "_loop",
         "_observer",
         "_parser",
         "current",
-        "failed",
-        "overflow",
+        "has_failed",
         "pipelined",
-        "state_since",
         "transport",
     )
 
@@ -88,9 +91,8 @@
         self._parser: RequestParser | None = RequestParser(self._request_read)
         self.current: ProxiedRequest | None = None
         self.pipelined: deque[ProxiedRequest | LocalResponse] = deque()
-        self.overflow = False  # one connection too many: its request is rejected at once
-        self.failed = False  # bad input was answered; nothing more is read
-        self.state_since = time.monotonic()  # set by the observer
+        self.has_failed = False  # bad input was answered; nothing more is read
+        self._is_overflow = False  # It is one connection too many: its requests are rejected at once.
         self._close_after_response = False
         self._discarded_bytes = 0
 
@@ -99,7 +101,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Open."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is none by inheritance
-        self._observer.connection_opened(self)
+        self._is_overflow = not self._observer.connection_opened(self)
 
     def connection_lost(self, _: Exception | None) -> None:
         """Finish all requests: their client has gone."""
@@ -141,7 +143,7 @@
             return
         self._close_parser()
         self._close_after_response = True
-        self.failed = True
+        self.has_failed = True
         self._disconnect_requests()
         self._write_local(error)
 
@@ -187,7 +189,7 @@
     def _start(self, item: ProxiedRequest | LocalResponse) -> None:
         if isinstance(item, LocalResponse):
             self._write_local(item)
-        elif self.overflow or self._handler.stopped:
+        elif self._is_overflow or self._handler.is_stopped:
             self._close_after_response = True
             self._handler.client_disconnected(item)
             self._write(503, retry_after_ms=OVERLOAD_RETRY_AFTER_MS)
@@ -215,13 +217,13 @@
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        close = (self._close_after_response or self._handler.draining) and not self.pipelined
+        close = (self._close_after_response or self._handler.is_draining) and not self.pipelined
         transport.write(encode_response(status, body, content_type, retry_after_ms, close=close))
         if self.pipelined:
             self._loop.call_soon(self._start_next)
         elif not close:
             self._observer.connection_idle(self)
-        elif self.failed:
+        elif self.has_failed:
             # Closing with input unread would reset the connection, and the client might lose the response.
             transport.write_eof()
             self._observer.connection_failed(self)
@@ -231,12 +233,12 @@
     # State
 
     @property
-    def at_work(self) -> bool:
+    def has_unanswered_requests(self) -> bool:
         """Whether a request here is still owed its response."""
         return self.current is not None or bool(self.pipelined)
 
     @property
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether a request, or the client's end, waits in the kernel."""
         return self.transport is not None and not self.transport.is_closing() and unread(self.transport)
 
--- a/limiter/transport/clients/listener.py
+++ b/limiter/transport/clients/listener.py
@@ -92,7 +92,7 @@
 
     def start_draining(self) -> None:
         """From now on close each connection with its next response, and fail health checks."""
-        self._handler.draining = True
+        self._handler.start_draining()
 
     def stop_accepting(self) -> None:
         """Take what is in the backlog, which the kernel would reset, and no more."""
@@ -110,7 +110,7 @@
 
     def stop_requests(self) -> None:
         """From now on reject what is read."""
-        self._handler.stopped = True
+        self._handler.stop()
 
     def has_connections(self) -> bool:
         """Whether a client is connected."""
--- a/limiter/transport/clients/request_handler.py
+++ b/limiter/transport/clients/request_handler.py
@@ -27,14 +27,32 @@
         self._forwarder = proxy.forwarder
         self._clock = clock
         self._validator = RequestValidator(config)
-        self.draining = False  # each connection is closed with its next response
-        self.stopped = False  # no request is submitted any more
+        self._is_draining = False
+        self._is_stopped = False
+
+    @property
+    def is_draining(self) -> bool:
+        """Whether each connection is closed with its next response."""
+        return self._is_draining
+
+    @property
+    def is_stopped(self) -> bool:
+        """Whether no request is submitted any more."""
+        return self._is_stopped
+
+    def start_draining(self) -> None:
+        """From now on close each connection with its next response, and fail health checks."""
+        self._is_draining = True
+
+    def stop(self) -> None:
+        """From now on reject requests in place of submitting them."""
+        self._is_stopped = True
 
     def prepare(self, connection: ClientConnection, request: ParsedRequest) -> ProxiedRequest | LocalResponse:
         """Make of a request what is to be submitted, or its response."""
         path = request.target.partition(b"?")[0]
         if path == HEALTH_PATH:
-            return READY if self._proxy.ready and not self.draining else NOT_READY
+            return READY if self._proxy.ready and not self._is_draining else NOT_READY
         try:
             event = self._validator.validate(request, path, self._requests.next_number(), self._clock())
         except BadRequestError as error:
--- a/limiter/transport/clients/request_parser.py
+++ b/limiter/transport/clients/request_parser.py
@@ -53,6 +53,24 @@
     body_bytes: int = 0
     keep_alive: bool = True  # set when the request is complete
 
+    def append_target(self, part: bytes) -> None:
+        """Add a part of the request target."""
+        self.target += part
+
+    def append_body(self, part: bytes) -> bool:
+        """Add a part of the body; return False, and drop the body, if it is longer than MAX_BODY_BYTES."""
+        self.body_bytes += len(part)
+        if self.body_bytes > MAX_BODY_BYTES:
+            self.body_parts.clear()
+            return False
+        self.body_parts.append(part)
+        return True
+
+    def complete(self, method: bytes, *, keep_alive: bool) -> None:
+        """Set what is known at the end of the request."""
+        self.method = method
+        self.keep_alive = keep_alive
+
 
 # Takes each complete request; returns the response to fail the connection with, if it can't be accepted.
 RequestCallback = Callable[[ParsedRequest], LocalResponse | None]
@@ -114,7 +132,7 @@
 
     def on_url(self, url: bytes) -> None:
         """Take a part of the request target."""
-        self._request.target += url
+        self._request.append_target(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take one header."""
@@ -139,13 +157,8 @@
 
     def on_body(self, body: bytes) -> None:
         """Take a part of the body."""
-        request = self._request
-        request.body_bytes += len(body)
-        if request.body_bytes > MAX_BODY_BYTES:
+        if not self._request.append_body(body):
             self._error = BODY_TOO_LARGE
-            request.body_parts.clear()
-        elif self._error is None:
-            request.body_parts.append(body)
 
     def on_message_complete(self) -> None:
         """Hand over the request."""
@@ -155,6 +168,5 @@
         self.is_partial = False
         if self._error is not None or self._parser is None or self._on_request is None:
             return
-        request.method = self._parser.get_method()
-        request.keep_alive = self._parser.should_keep_alive()
+        request.complete(self._parser.get_method(), keep_alive=self._parser.should_keep_alive())
         self._error = self._on_request(request)
--- a/tests/transport/test_graceful_shutdown.py
+++ b/tests/transport/test_graceful_shutdown.py
@@ -42,8 +42,9 @@
                 client.send(http_request(request_id="1"))
                 assert (await client.response())[1] == b"from s-0"
             else:
-                await wait_until(lambda: listener.registry.silent)
-                next(iter(listener.registry.silent)).state_since -= 1.0  # it was opened some time ago
+                await wait_until(lambda: listener.registry.new)
+                [opened] = listener.registry.new
+                listener.registry.new[opened] -= 1.0  # it was opened some time ago
             listener.start_draining()
             listener.stop_accepting()
             client.send(http_request(request_id="2"))
@@ -63,10 +64,11 @@
             if is_reused:
                 client.send(http_request(request_id="1"))
                 assert (await client.response())[1] == b"from s-0"
-            state = listener.registry.idle if is_reused else listener.registry.silent
+            state = listener.registry.idle if is_reused else listener.registry.new
             timeout = IDLE_TIMEOUT_SECONDS if is_reused else READ_TIMEOUT_SECONDS
             await wait_until(lambda: state)
-            next(iter(state)).state_since -= timeout + 1.0
+            [waiting] = state
+            state[waiting] -= timeout + 1.0
             client.send(http_request(request_id="2"))
             listener.registry.close_expired()
             assert (await client.response())[1] == b"from s-0"
@@ -83,7 +85,7 @@
         async with in_process_limiter(FakeServer("s-0")) as (proxy, listener):
             client = RawClient(listener)
             client.send(http_request()[:40])
-            await wait_until(lambda: listener.registry.partial)
+            await wait_until(lambda: listener.registry.reading)
             draining = asyncio.create_task(shutdown.shut_down_gracefully(listener, proxy))
             await wait_until(lambda: listener.socket.fileno() < 0, "listening has ended")
             client.send(http_request()[40:])
