--- a/limiter/process/startup.py
+++ b/limiter/process/startup.py
@@ -32,7 +32,7 @@
     """
     loop = asyncio.get_running_loop()
     clock = Clock()
-    with closing(Proxy(loop, config, clock)) as proxy:
+    with closing(Proxy(config, clock)) as proxy:
         proxy.discovery.known(config.known_endpoints)
         stop_requested = asyncio.Event()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -43,7 +43,7 @@
         # Servers may have drained while this process did not run, so no request is accepted before discovery
         # has responded.
         await _wait_for_any(DISCOVERY_WAIT_SECONDS, proxy.discovery.first_response, stop_requested)
-        listener = Listener(loop, config, proxy, clock)
+        listener = Listener(config, proxy, clock)
         host, port = listener.socket.getsockname()[:2]
         log.info("listening name=%s address=%s:%d", config.name, host, port)
         await stop_requested.wait()
--- a/limiter/transport/clients/client_connection.py
+++ b/limiter/transport/clients/client_connection.py
@@ -71,7 +71,6 @@
         "_discarded_bytes",
         "_handler",
         "_is_overflow",
-        "_loop",
         "_observer",
         "_parser",
         "current",
@@ -80,11 +79,8 @@
         "transport",
     )
 
-    def __init__(
-        self, loop: asyncio.AbstractEventLoop, observer: ConnectionObserver, handler: RequestHandler
-    ) -> None:
+    def __init__(self, observer: ConnectionObserver, handler: RequestHandler) -> None:
         """Report state changes to `observer` and requests to `handler`."""
-        self._loop = loop
         self._observer = observer
         self._handler = handler
         self.transport: asyncio.Transport | None = None
@@ -220,7 +216,7 @@
         close = (self._close_after_response or self._handler.is_draining) and not self.pipelined
         transport.write(encode_response(status, body, content_type, retry_after_ms, close=close))
         if self.pipelined:
-            self._loop.call_soon(self._start_next)
+            asyncio.get_running_loop().call_soon(self._start_next)
         elif not close:
             self._observer.connection_idle(self)
         elif self.has_failed:
--- a/limiter/transport/clients/listener.py
+++ b/limiter/transport/clients/listener.py
@@ -24,9 +24,9 @@
 class Listener:
     """Accepts clients' connections and serves them until it is aborted."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, proxy: Proxy, clock: Clock) -> None:
-        """Listen at once; raise OSError where the address can't be had."""
-        self._loop = loop
+    def __init__(self, config: Config, proxy: Proxy, clock: Clock) -> None:
+        """Listen at once, in the running event loop; raise OSError if the address cannot be bound."""
+        self._loop = asyncio.get_running_loop()
         max_connections = config.descriptor_share(CONNECTION_SHARE)
         overflow = max(MIN_OVERFLOW_CONNECTIONS, config.descriptor_share(OVERFLOW_SHARE))
         self._max_accepted = max_connections + overflow
@@ -35,7 +35,7 @@
         self._connecting: set[asyncio.Task[None]] = set()
         self.socket = _listen(config.listen)
         self._loop.add_reader(self.socket, self._accept)
-        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     # Accepting
 
@@ -74,7 +74,7 @@
             accepted.close()
 
     def _make_connection(self) -> ClientConnection:
-        return ClientConnection(self._loop, self.registry, self._handler)
+        return ClientConnection(self.registry, self._handler)
 
     def _pause_accepting(self) -> None:
         self._loop.remove_reader(self.socket)
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -52,25 +52,25 @@
     The engine sees events one at a time; each of its actions is carried out before the next event.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, clock: Clock) -> None:
+    def __init__(self, config: Config, clock: Clock) -> None:
         """Open the socket for gossip; the other connections are opened when they are needed."""
-        self._loop = loop
+        self._loop = asyncio.get_running_loop()
         self._clock = clock
         self.settings = config.settings
         self.engine = PolicyEngine(config.settings, config.seed)
         self.pool = ServerPool(
-            loop,
+            self._loop,
             config.dial_timeout_ms,
             config.keepalive_ms,
             config.descriptor_share(SERVER_CONNECTION_SHARE),
         )
-        self.forwarder = RequestForwarder(loop, clock, config.settings, self.pool, self._handle_event)
+        self.forwarder = RequestForwarder(clock, config.settings, self.pool, self._handle_event)
         self.requests = self.forwarder.requests
         self.counter = self._make_counter(config)
         self._gossip = self._make_gossip(config)
         self.discovery = self._make_discovery(config)  # polls nothing until it is started
         self._ready_servers: set[bytes] = set()
-        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     def _make_counter(self, config: Config) -> CounterClient | None:
         if config.counter is None:
--- a/limiter/transport/driver/request_forwarder.py
+++ b/limiter/transport/driver/request_forwarder.py
@@ -29,14 +29,13 @@
 
     def __init__(
         self,
-        loop: asyncio.AbstractEventLoop,
         clock: Clock,
         settings: Settings,
         pool: ServerPool,
         handle_event: Callable[[Event], None],
     ) -> None:
         """Report to the policy through `handle_event`."""
-        self._loop = loop
+        self._loop = asyncio.get_running_loop()
         self._clock = clock
         self._max_attempts = settings.max_attempts
         self._request_classes = settings.request_classes
--- a/tests/support/in_process_limiter.py
+++ b/tests/support/in_process_limiter.py
@@ -41,12 +41,11 @@
         await server.listen()
         endpoint = Endpoint(server.key.encode(), EndpointState.READY)
         endpoints.append((endpoint, ("127.0.0.1", server.port)))
-    loop = asyncio.get_running_loop()
     clock = Clock()
     config = parse(configuration(seed="1"))
-    proxy = Proxy(loop, config, clock)
+    proxy = Proxy(config, clock)
     proxy.servers_changed(endpoints, True)
-    listener = Listener(loop, config, proxy, clock)
+    listener = Listener(config, proxy, clock)
     yield proxy, listener
     if listener.socket.fileno() >= 0:
         listener.stop_accepting()
--- a/tests/transport/test_lifecycle.py
+++ b/tests/transport/test_lifecycle.py
@@ -98,7 +98,7 @@
 
     async def main() -> list[float]:
         clock = Clock()
-        proxy = Proxy(asyncio.get_running_loop(), parse(configuration()), clock)
+        proxy = Proxy(parse(configuration()), clock)
         early_ms: list[float] = []
         due_ms = {token: clock() + 10.0 + token for token in range(5)}
 
