--- a/limiter/transport/clients/client_connection.py
+++ b/limiter/transport/clients/client_connection.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections import deque
+from enum import Enum
 from typing import Protocol, cast
 
 from limiter.transport.clients.client_response import LocalResponse, encode_response
@@ -11,35 +12,51 @@
 from limiter.transport.driver.proxied_request import ProxiedRequest
 from limiter.transport.sockets import hung_up, unread
 
-MAX_PIPELINED_REQUESTS = 16  # that may wait on a connection behind the current one
-MAX_DISCARDED_BYTES = 262_144  # still read after the response to bad input, before reading stops
-# Told to a client on one connection too many, or of a limiter that has stopped.
+# Requests that may wait on a connection behind the current one. More are bad input.
+MAX_PIPELINED_REQUESTS = 16
+# Bytes that are read and dropped after the response to bad input, before reading stops.
+MAX_DISCARDED_BYTES = 262_144
+# Retry-After for a client on one connection too many, or of a limiter that no longer submits requests.
 OVERLOAD_RETRY_AFTER_MS = 1000.0
 
-# A failure, not a rejection: the response goes to the current request, which may have run.
+# The status is that of a failure, not of a rejection: the response goes to the current request, which may
+# have run.
 TOO_MANY_PIPELINED = LocalResponse(400, b"too many requests on one connection\n")
 
 
+# A request that waits for its turn on a connection; if no server is needed, its response.
+QueuedRequest = ProxiedRequest | LocalResponse
+
+
+class ConnectionState(Enum):
+    """What becomes of a connection after the responses that it owes."""
+
+    OPEN = "open"  # it waits for the next request
+    CLOSING = "closing"  # it is closed
+    FAILED = "failed"  # its input was bad: nothing more is parsed, and it is closed once its client has read
+    CLOSED = "closed"  # it owes none: it is closed already
+
+
 class ConnectionObserver(Protocol):
-    """Is notified of each change of a connection's state."""
+    """Is notified of each change that decides how long a connection may stay open."""
 
     def connection_opened(self, connection: ClientConnection) -> bool:
-        """A client has connected; return whether its requests may be served, else it is one too many."""
+        """Note a new connection; return whether its requests may be served, else it is one too many."""
 
     def request_started(self, connection: ClientConnection) -> None:
-        """Part of a request has come; called for each part."""
+        """Note that part of a request has been received; called for each part."""
 
     def request_completed(self, connection: ClientConnection) -> None:
-        """A request has been read to its end."""
+        """Note that a request has been read to its end."""
 
     def connection_idle(self, connection: ClientConnection) -> None:
-        """All requests have their responses."""
+        """Note that all requests have their responses."""
 
     def connection_failed(self, connection: ClientConnection) -> None:
-        """The response to bad input was written; the connection is to be closed once it was read."""
+        """Note that the response to bad input was written; close the connection once it was read."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """The connection is no more."""
+        """Note that the connection is closed."""
 
 
 class RequestHandler(Protocol):
@@ -53,8 +70,8 @@
     def is_stopped(self) -> bool:
         """Whether no request is submitted any more."""
 
-    def prepare(self, connection: ClientConnection, request: ParsedRequest) -> ProxiedRequest | LocalResponse:
-        """Make of a request what is to be submitted, or its response."""
+    def prepare(self, connection: ClientConnection, request: ParsedRequest) -> QueuedRequest:
+        """Return the request to submit when its turn comes, or its response if no server is needed."""
 
     def submit(self, request: ProxiedRequest) -> None:
         """Start a prepared request; its response is written by `ClientConnection.write_response`."""
@@ -67,47 +84,53 @@
     """Reads pipelined requests, submits one at a time and writes the responses in order."""
 
     __slots__ = (
-        "_close_after_response",
         "_discarded_bytes",
         "_handler",
         "_is_overflow",
         "_observer",
         "_parser",
+        "_state",
         "current",
-        "has_failed",
         "pipelined",
         "transport",
     )
 
     def __init__(self, observer: ConnectionObserver, handler: RequestHandler) -> None:
-        """Report state changes to `observer` and requests to `handler`."""
+        """Make the protocol of a connection that is not accepted yet.
+
+        Args:
+            observer: Notified of what decides how long the connection may stay open.
+            handler: Gets the requests.
+        """
         self._observer = observer
         self._handler = handler
         self.transport: asyncio.Transport | None = None
         self._parser: RequestParser | None = RequestParser(self._request_read)
         self.current: ProxiedRequest | None = None
-        self.pipelined: deque[ProxiedRequest | LocalResponse] = deque()
-        self.has_failed = False  # bad input was answered; nothing more is read
+        self.pipelined: deque[QueuedRequest] = deque()  # behind the current one, in their order
+        self._state = ConnectionState.OPEN
         self._is_overflow = False  # It is one connection too many: its requests are rejected at once.
-        self._close_after_response = False
         self._discarded_bytes = 0
 
     # Callbacks of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Open."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is none by inheritance
+        """Take over the transport of an accepted connection."""
+        # uvloop's transport does not inherit from asyncio's.
+        self.transport = cast(asyncio.Transport, transport)
         self._is_overflow = not self._observer.connection_opened(self)
 
     def connection_lost(self, _: Exception | None) -> None:
-        """Finish all requests: their client has gone."""
-        self.transport = None  # it refers to this connection: nothing is left to the garbage collector
+        """Finish all requests: their client has disconnected."""
+        self._state = ConnectionState.CLOSED
+        # The transport refers to this connection; without the cycle nothing is left to the garbage collector.
+        self.transport = None
         self._close_parser()
         self._observer.connection_closed(self)
         self._disconnect_requests()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come."""
+        """Parse what was received."""
         parser = self._parser
         if parser is None:
             self._discard(data)
@@ -119,35 +142,36 @@
             self._observer.request_started(self)
 
     def pause_writing(self) -> None:
-        """Stop reading: a client that reads no responses gets to send no more requests."""
+        """Stop reading: a client that does not read its responses cannot send more requests."""
         if self.transport is not None:
             self.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """Read on."""
-        if self.transport is not None and self._parser is not None:
+        """Resume reading, unless the input was bad."""
+        if self.transport is not None and self._state is not ConnectionState.FAILED:
             self.transport.resume_reading()
 
     # Bad input
 
     def fail(self, error: LocalResponse) -> None:
-        """Respond to input that can't be read, or not now, and close, whatever else waits here.
+        """Respond with an error to input that cannot be read, or not now, and close after that.
 
-        The current request gets this response, a failure: where it came from is no longer certain.
+        The current request gets this response: what is a response to which request is no longer certain.
+        Those behind it get none. Without effect on a connection that has failed or is closed.
         """
         if self._parser is None:
             return
         self._close_parser()
-        self._close_after_response = True
-        self.has_failed = True
+        self._state = ConnectionState.FAILED
         self._disconnect_requests()
         self._write_local(error)
 
     def _discard(self, data: bytes) -> None:
         """Drop input after an error.
 
-        Some is read, so that no reset discards the response; more would cost CPU that working clients
-        need, and waits in the kernel until the close.
+        Closing with input unread would reset the connection, and the client might lose the response. So some
+        is read. More would cost processor time that working clients need: it waits in the kernel until the
+        close.
         """
         self._discarded_bytes += len(data)
         if self._discarded_bytes > MAX_DISCARDED_BYTES and self.transport is not None:
@@ -162,36 +186,36 @@
         unanswered = [self.current, *self.pipelined]
         self.current = None
         self.pipelined = deque()
-        for item in unanswered:
-            if isinstance(item, ProxiedRequest):
-                self._handler.client_disconnected(item)
+        for request in unanswered:
+            if isinstance(request, ProxiedRequest):
+                self._handler.client_disconnected(request)
 
     # Requests and responses
 
     def _request_read(self, request: ParsedRequest) -> LocalResponse | None:
-        """Queue a request; return the response to fail with where there are too many."""
+        """Start or queue a request; return the response to fail with if there are too many."""
         self._observer.request_completed(self)
         if not request.keep_alive:
-            self._close_after_response = True
+            self._state = ConnectionState.CLOSING
         if len(self.pipelined) >= MAX_PIPELINED_REQUESTS:
             return TOO_MANY_PIPELINED
-        item = self._handler.prepare(self, request)
-        if self.current is not None or self.pipelined:
-            self.pipelined.append(item)
+        queued = self._handler.prepare(self, request)
+        if self.has_unanswered_requests:
+            self.pipelined.append(queued)
         else:
-            self._start(item)
+            self._start(queued)
         return None
 
-    def _start(self, item: ProxiedRequest | LocalResponse) -> None:
-        if isinstance(item, LocalResponse):
-            self._write_local(item)
+    def _start(self, request: QueuedRequest) -> None:
+        if isinstance(request, LocalResponse):
+            self._write_local(request)
         elif self._is_overflow or self._handler.is_stopped:
-            self._close_after_response = True
-            self._handler.client_disconnected(item)
+            self._state = ConnectionState.CLOSING
+            self._handler.client_disconnected(request)
             self._write(503, retry_after_ms=OVERLOAD_RETRY_AFTER_MS)
         else:
-            self.current = item
-            self._handler.submit(item)
+            self.current = request
+            self._handler.submit(request)
 
     def _start_next(self) -> None:
         if self.current is None and self.pipelined:
@@ -213,14 +237,15 @@
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        close = (self._close_after_response or self._handler.is_draining) and not self.pipelined
+        is_closing = self._state is not ConnectionState.OPEN or self._handler.is_draining
+        close = is_closing and not self.pipelined
         transport.write(encode_response(status, body, content_type, retry_after_ms, close=close))
         if self.pipelined:
             asyncio.get_running_loop().call_soon(self._start_next)
         elif not close:
             self._observer.connection_idle(self)
         elif self.has_failed:
-            # Closing with input unread would reset the connection, and the client might lose the response.
+            # Only this direction ends now; `_discard` says why the other is read a little longer.
             transport.write_eof()
             self._observer.connection_failed(self)
         else:
@@ -228,6 +253,11 @@
 
     # State
 
+    @property
+    def has_failed(self) -> bool:
+        """Whether the response to bad input was written, and nothing more is parsed."""
+        return self._state is ConnectionState.FAILED
+
     @property
     def has_unanswered_requests(self) -> bool:
         """Whether a request here is still owed its response."""
@@ -235,7 +265,7 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether a request, or the client's end, waits in the kernel."""
+        """Whether bytes, or the end of the client's sending, wait unread in the kernel."""
         return self.transport is not None and not self.transport.is_closing() and unread(self.transport)
 
     def has_hung_up(self) -> bool:
@@ -243,13 +273,13 @@
         return self.transport is None or hung_up(self.transport)
 
     def close(self) -> None:
-        """Close between requests, or after its client; at once where that does not read its responses."""
+        """Close a connection without requests in hand; at once if its client does not read its responses."""
         if self.transport is not None and self.transport.get_write_buffer_size():
             self.transport.abort()
         elif self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once, whatever is unwritten."""
+        """Close at once, and drop what is still to be written."""
         if self.transport is not None:
             self.transport.abort()
