--- a/limiter/transport/clients/client_response.py
+++ b/limiter/transport/clients/client_response.py
@@ -23,13 +23,21 @@
 
     status: int
     text: bytes
-    retry_after_ms: float = 0.0  # 0: no Retry-After header
+    retry_after_ms: float = 0.0  # 0 omits the Retry-After header
 
 
 def encode_response(
     status: int, body: bytes, content_type: bytes, retry_after_ms: float, *, close: bool
 ) -> bytes:
-    """A whole HTTP/1.1 response; `close` says that the connection ends with it."""
+    """Return an HTTP/1.1 response.
+
+    Args:
+        status: A key of REASON_PHRASES.
+        body: The body, which may be empty.
+        content_type: The media type; empty omits the header.
+        retry_after_ms: Milliseconds for the Retry-After header; 0 omits it.
+        close: Whether the connection is closed after this response.
+    """
     head = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n" % (status, REASON_PHRASES[status], len(body))
     if content_type:
         head += b"Content-Type: %b\r\n" % content_type
--- a/limiter/transport/clients/http_request.py
+++ b/limiter/transport/clients/http_request.py
@@ -4,46 +4,74 @@
 
 import re
 from collections.abc import Mapping
+from typing import NamedTuple
 
 from limiter.configuration.config import Config
 from limiter.model.events import ClientRequest
 from limiter.model.settings import Idempotency
 from limiter.transport.clients.request_parser import REPEATED, ParsedRequest
 
-MAX_DEADLINE_MS = 3_600_000  # the latest deadline that makes sense
-# Before the client's own time-out: the response must reach it, over a network, on a busy core.
+# Longest time that a client may wait: an hour.
+MAX_DEADLINE_MS = 3_600_000
+# A request ends here so long before its client's own time-out: the response has to reach the client over a
+# network, on a busy machine.
 DEADLINE_MARGIN_MS = 10.0
-MIN_DEADLINE_SHARE = 0.75  # of the client's time-out that is used however short it is
-CUSTOMER_LIMIT = 2**33  # customers are numbers below it
+# Share of the client's time-out that a request gets at least, however short the time-out is.
+MIN_DEADLINE_SHARE = 0.75
+# Customers are numbers below this.
+CUSTOMER_LIMIT = 2**33
 
 REQUEST_ID = re.compile(rb"[!-~]{1,128}")
 CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
-# Patterns, since int() and float() also take what no client should send: 1_0, +1, nan, blanks.
+# Numbers are matched by patterns, because int() and float() also accept 1_0, +1, nan and blanks.
 INTEGER = re.compile(rb"[0-9]{1,9}")
 DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
 class BadRequestError(Exception):
-    """A request that is not of the protocol's form; the message names its part and what is wrong."""
+    """A request that is not of the protocol's form; its message is the body of the response."""
 
     def __init__(self, problem: str, part: str = "") -> None:
-        """`part` is a header, or another part of the request; empty where it is none in particular."""
+        """State what is wrong.
+
+        Args:
+            problem: What is wrong with the part.
+            part: A header, or another part of the request; empty if it is none in particular.
+        """
         super().__init__(f"{part}: {problem}" if part else problem)
         self.part = part
         self.problem = problem
 
 
+class CustomerWeight(NamedTuple):
+    """What the X-Weight header says: the request's units and the limiters of its customer."""
+
+    units: float
+    limiter_set_size: float
+    limiter_set_start: float
+
+
 class RequestValidator:
     """Checks requests against the classes, plans and bounds of the settings."""
 
     def __init__(self, config: Config) -> None:
-        """Check by the settings of `config`."""
+        """Take classes, plans and bounds from `config`."""
         self._settings = config.settings
         self._class_indexes = {name.encode(): index for index, name in enumerate(config.class_names)}
         self._plan_indexes = {name.encode(): index for index, name in enumerate(config.plan_names)}
 
     def validate(self, request: ParsedRequest, path: bytes, number: int, now_ms: float) -> ClientRequest:
-        """Return the event for a request, under `number`; raise BadRequestError."""
+        """Return the event for a valid request.
+
+        Args:
+            request: The request as it was read.
+            path: Its target without the query.
+            number: Its number among this limiter's requests.
+            now_ms: The time now, on the clock of the events.
+
+        Raises:
+            BadRequestError: The request is not of the protocol's form.
+        """
         headers = request.headers
         if REPEATED in headers:
             raise BadRequestError(problem="a header given twice")
@@ -55,15 +83,16 @@
         if plan_index is None:
             raise BadRequestError(part="X-Tariff", problem="missing or unknown")
         self._check_method(request, class_index)
-        units, set_size, set_start = self._parse_weight(headers.get(b"x-weight", b""), plan_index)
+        weight = _parse_weight(headers.get(b"x-weight", b""))
+        self._check_weight(weight, plan_index)
         return ClientRequest(
             id=number,
             customer=_parse_customer(customer),
             plan=plan_index,
             request_class=class_index,
-            units=units,
-            limiter_set_size=set_size,
-            limiter_set_start=set_start,
+            units=weight.units,
+            limiter_set_size=weight.limiter_set_size,
+            limiter_set_start=weight.limiter_set_start,
             expires_at=now_ms + _parse_deadline_ms(headers.get(b"x-deadline-ms", b"")),
         )
 
@@ -84,29 +113,35 @@
         if idempotency is Idempotency.IDEMPOTENCY_KEY and not request.headers.get(b"idempotency-key"):
             raise BadRequestError(part="Idempotency-Key", problem="missing")
 
-    def _parse_weight(self, text: bytes, plan_index: int) -> tuple[float, float, float]:
-        """Units, and size and start of the customer's set of limiters, within the settings.
+    def _check_weight(self, weight: CustomerWeight, plan_index: int) -> None:
+        """Check the weight against the settings.
 
         A request in a customer's name changes what the policy keeps of that customer, for all its requests:
         what the settings rule out must not get that far.
         """
-        pairs = [part.strip().split(b"=", 1) for part in text.split(b",")]
-        fields = {pair[0]: pair[1] for pair in pairs if len(pair) == 2}
-        units = fields.get(b"units", b"")
-        set_size = fields.get(b"spread", b"")
-        set_start = fields.get(b"first", b"")
-        is_sound = DECIMAL.fullmatch(units) and INTEGER.fullmatch(set_size) and INTEGER.fullmatch(set_start)
-        if not is_sound or len(fields) != len(pairs):  # one without a value, or given twice
-            raise BadRequestError(part="X-Weight", problem="missing or malformed")
-        plan = self._settings.plans[plan_index]
         limiter_count = self._settings.limiter_count
+        is_set_valid = (
+            1 <= weight.limiter_set_size <= limiter_count and weight.limiter_set_start < limiter_count
+        )
+        plan = self._settings.plans[plan_index]
         max_units = self._settings.max_units
         if plan.rate > 0:
             max_units = min(max_units, plan.burst)
-        has_set = 1 <= int(set_size) <= limiter_count and int(set_start) < limiter_count
-        if not has_set or not 0 < float(units) <= max_units:
+        if not is_set_valid or not 0 < weight.units <= max_units:
             raise BadRequestError(part="X-Weight", problem="out of range")
-        return float(units), float(set_size), float(set_start)
+
+
+def _parse_weight(text: bytes) -> CustomerWeight:
+    pairs = [part.strip().split(b"=", 1) for part in text.split(b",")]
+    fields = {pair[0]: pair[1] for pair in pairs if len(pair) == 2}
+    has_only_distinct_fields = len(fields) == len(pairs)
+    units = fields.get(b"units", b"")
+    set_size = fields.get(b"spread", b"")
+    set_start = fields.get(b"first", b"")
+    are_numbers = DECIMAL.fullmatch(units) and INTEGER.fullmatch(set_size) and INTEGER.fullmatch(set_start)
+    if not are_numbers or not has_only_distinct_fields:
+        raise BadRequestError(part="X-Weight", problem="missing or malformed")
+    return CustomerWeight(float(units), float(set_size), float(set_start))
 
 
 def _parse_customer(text: bytes) -> int:
@@ -117,7 +152,7 @@
 
 
 def _parse_deadline_ms(text: bytes) -> float:
-    """How long the request may take here, in milliseconds."""
+    """Return how long the request may take here, in milliseconds."""
     deadline_ms = int(text) if INTEGER.fullmatch(text) else 0
     if not 0 < deadline_ms <= MAX_DEADLINE_MS:
         raise BadRequestError(part="X-Deadline-Ms", problem="missing or not a time to wait")
--- a/limiter/transport/clients/listener.py
+++ b/limiter/transport/clients/listener.py
@@ -12,13 +12,20 @@
 from limiter.transport.clock import Clock
 from limiter.transport.driver.proxy import Proxy
 
-CONNECTION_SHARE = 0.55  # of the descriptors, for clients
-OVERFLOW_SHARE = 0.05  # of the descriptors, for connections that are held while they are rejected,
-MIN_OVERFLOW_CONNECTIONS = 8  # and the least number of these
-BACKLOG = 1024  # connections that the kernel holds until they are accepted
-ACCEPT_BATCH = 64  # connections accepted in one turn: then the requests in hand get theirs
-ACCEPT_PAUSE_SECONDS = 0.05  # without accepting when descriptors have run out
-SWEEP_INTERVAL_SECONDS = 0.25  # between two looks at what has taken too long
+# Share of the file descriptors that is for clients' connections.
+CONNECTION_SHARE = 0.55
+# Share of the file descriptors that is for overflow connections, which are held while they are rejected, and
+# the smallest number of them.
+OVERFLOW_SHARE = 0.05
+MIN_OVERFLOW_CONNECTIONS = 8
+# Connections that the kernel holds until they are accepted.
+BACKLOG = 1024
+# Connections that are accepted in one turn of the loop. Requests in hand get their turn after that.
+ACCEPT_BATCH = 64
+# Nothing is accepted for so long after descriptors have run out.
+ACCEPT_PAUSE_SECONDS = 0.05
+# Interval at which connections that have taken too long are closed.
+SWEEP_INTERVAL_SECONDS = 0.25
 
 
 class Listener:
@@ -28,8 +35,8 @@
         """Listen at once, in the running event loop; raise OSError if the address cannot be bound."""
         self._loop = asyncio.get_running_loop()
         max_connections = config.descriptor_share(CONNECTION_SHARE)
-        overflow = max(MIN_OVERFLOW_CONNECTIONS, config.descriptor_share(OVERFLOW_SHARE))
-        self._max_accepted = max_connections + overflow
+        max_overflow = max(MIN_OVERFLOW_CONNECTIONS, config.descriptor_share(OVERFLOW_SHARE))
+        self._max_accepted = max_connections + max_overflow
         self.registry = ConnectionRegistry(max_connections)
         self._handler = ProxyRequestHandler(config, proxy, clock)
         self._connecting: set[asyncio.Task[None]] = set()
@@ -42,22 +49,25 @@
     def _accept(self) -> None:
         for _ in range(ACCEPT_BATCH):
             if len(self.registry.connections) + len(self._connecting) >= self._max_accepted:
-                # The descriptors that are left are for servers, discovery and the counter.
-                if not self._connecting and not self.registry.shed():
-                    self._pause_accepting()
+                self._shed_or_pause()
                 return
             if not self._accept_one():
                 return
 
+    def _shed_or_pause(self) -> None:
+        """Make room for a connection: the descriptors left are for servers, discovery and the counter."""
+        if not self._connecting and not self.registry.shed():
+            self._pause_accepting()
+
     def _accept_one(self) -> bool:
-        """Whether there may be more to accept."""
+        """Accept a connection; return whether there may be more to accept."""
         try:
             accepted, _ = self.socket.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False
         except OSError:
-            # Out of descriptors, say: uvloop's own server closes its socket for good then, and a reader
-            # left in place would spin on it. The connection waits in the backlog for a moment.
+            # Descriptors may have run out. uvloop's own server would close its socket for good then, and a
+            # reader left in place would spin on it. The connection waits in the backlog for a moment.
             self.registry.shed()
             self._pause_accepting()
             return False
@@ -100,7 +110,8 @@
         for _ in range(BACKLOG):
             if not self._accept_one():
                 break
-        self._loop.remove_reader(self.socket)  # put back where descriptors ran out
+        # `_accept_one` puts the reader back after a pause, if descriptors have run out.
+        self._loop.remove_reader(self.socket)
         self.socket.close()
 
     def close_idle(self) -> bool:
@@ -109,7 +120,7 @@
         return bool(self.registry.connections or self._connecting)
 
     def stop_requests(self) -> None:
-        """From now on reject what is read."""
+        """From now on reject the requests that are read."""
         self._handler.stop()
 
     def has_connections(self) -> bool:
--- a/limiter/transport/clients/request_handler.py
+++ b/limiter/transport/clients/request_handler.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limiter.configuration.config import Config
-from limiter.transport.clients.client_connection import ClientConnection
+from limiter.transport.clients.client_connection import ClientConnection, QueuedRequest
 from limiter.transport.clients.client_response import LocalResponse
 from limiter.transport.clients.http_request import BadRequestError, RequestValidator
 from limiter.transport.clients.request_parser import ParsedRequest
@@ -21,7 +21,13 @@
     """Answers health checks, validates other requests and submits them to the proxy."""
 
     def __init__(self, config: Config, proxy: Proxy, clock: Clock) -> None:
-        """Handle requests by the settings of `config`."""
+        """Make a handler that is not draining.
+
+        Args:
+            config: Classes, plans and bounds that requests must keep to.
+            proxy: Gets the requests.
+            clock: The clock of the events.
+        """
         self._proxy = proxy
         self._requests = proxy.requests
         self._forwarder = proxy.forwarder
@@ -48,8 +54,8 @@
         """From now on reject requests in place of submitting them."""
         self._is_stopped = True
 
-    def prepare(self, connection: ClientConnection, request: ParsedRequest) -> ProxiedRequest | LocalResponse:
-        """Make of a request what is to be submitted, or its response."""
+    def prepare(self, connection: ClientConnection, request: ParsedRequest) -> QueuedRequest:
+        """Return the request to submit when its turn comes, or its response if no server is needed."""
         path = request.target.partition(b"?")[0]
         if path == HEALTH_PATH:
             return READY if self._proxy.ready and not self._is_draining else NOT_READY
@@ -59,12 +65,10 @@
             return LocalResponse(400, b"%b\n" % str(error).encode())
         client_request_id = request.headers[b"x-request-id"]
         if not self._requests.claim_client_request_id(client_request_id):
-            # Forwarded, it would run a second time, or as another client's request.
+            # If it were forwarded, it would run a second time, or as another client's request.
             return DUPLICATE_ID
         body = b"".join(request.body_parts)
-        head = b"%b %b HTTP/1.1\r\n%b" % (request.method, request.target, b"".join(request.forwarded_lines))
-        if body or request.method == b"POST":
-            head += b"Content-Length: %d\r\n" % len(body)
+        head = _encode_head(request, len(body))
         return ProxiedRequest(connection, event, client_request_id, head, body)
 
     def submit(self, request: ProxiedRequest) -> None:
@@ -74,3 +78,11 @@
     def client_disconnected(self, request: ProxiedRequest) -> None:
         """Finish a prepared request whose client no longer gets its response."""
         self._forwarder.client_disconnected(request)
+
+
+def _encode_head(request: ParsedRequest, body_bytes: int) -> bytes:
+    """Return request line and headers for the server, without the deadline and the blank line."""
+    head = b"%b %b HTTP/1.1\r\n%b" % (request.method, request.target, b"".join(request.forwarded_lines))
+    if body_bytes or request.method == b"POST":
+        head += b"Content-Length: %d\r\n" % body_bytes
+    return head
--- a/limiter/transport/clients/request_parser.py
+++ b/limiter/transport/clients/request_parser.py
@@ -10,14 +10,15 @@
 from limiter.transport.clients.client_response import LocalResponse
 
 MAX_BODY_BYTES = 65_536
-MAX_HEAD_BYTES = 32_768  # read of one request before its head is complete
-# Read of one request in all: chunks may carry more framing than body.
+# Bytes that may be read of one request before its head is complete.
+MAX_HEAD_BYTES = 32_768
+# Bytes that may be read of one request in all: its chunks may carry more framing than body.
 MAX_REQUEST_BYTES = MAX_HEAD_BYTES + 8 * MAX_BODY_BYTES
 
 PROTOCOL_HEADERS = frozenset(
     (b"x-request-id", b"x-class", b"x-tariff", b"x-deadline-ms", b"x-weight", b"idempotency-key")
 )
-# Hop by hop, or written anew for the server.
+# Headers that are not forwarded: they are hop by hop, or written anew for the server.
 UNFORWARDED_HEADERS = frozenset(
     (
         b"connection",
@@ -32,7 +33,8 @@
         b"x-deadline-ms",
     )
 )
-REPEATED = b""  # the key under which a protocol header is noted that came twice
+# The key under which the parser notes that a protocol header came twice.
+REPEATED = b""
 
 BODY_TOO_LARGE = LocalResponse(413, b"body too large\n")
 HEAD_TOO_LARGE = LocalResponse(400, b"request head too large\n")
@@ -43,15 +45,25 @@
 
 @dataclass(slots=True)
 class ParsedRequest:
-    """A request as far as it has been read."""
-
-    method: bytes = b""  # set when the request is complete
+    """A request as far as it has been read.
+
+    Attributes:
+        method: The method, once the request is complete.
+        target: The request target, with its query.
+        headers: The values of PROTOCOL_HEADERS by their names in lower case, and REPEATED.
+        forwarded_lines: Header lines for the server.
+        body_parts: The body, in the parts in which it was received.
+        body_bytes: Length of the body.
+        keep_alive: Whether another request may follow on the connection, once the request is complete.
+    """
+
+    method: bytes = b""
     target: bytes = b""
-    headers: dict[bytes, bytes] = field(default_factory=dict)  # those of PROTOCOL_HEADERS, and REPEATED
-    forwarded_lines: list[bytes] = field(default_factory=list)  # header lines for the server
+    headers: dict[bytes, bytes] = field(default_factory=dict)
+    forwarded_lines: list[bytes] = field(default_factory=list)
     body_parts: list[bytes] = field(default_factory=list)
     body_bytes: int = 0
-    keep_alive: bool = True  # set when the request is complete
+    keep_alive: bool = True
 
     def append_target(self, part: bytes) -> None:
         """Add a part of the request target."""
@@ -72,7 +84,7 @@
         self.keep_alive = keep_alive
 
 
-# Takes each complete request; returns the response to fail the connection with, if it can't be accepted.
+# Takes each complete request; returns the response to fail the connection with if it cannot be accepted.
 RequestCallback = Callable[[ParsedRequest], LocalResponse | None]
 
 
@@ -89,19 +101,20 @@
         "is_partial",
     )
 
-    _request: ParsedRequest  # only while a request is partial: idle connections are many
+    # Set only while a request is partly read, to save memory: most connections are idle.
+    _request: ParsedRequest
 
     def __init__(self, on_request: RequestCallback) -> None:
-        """Parse requests for `on_request`."""
+        """Make a parser that hands each complete request to `on_request`."""
         self._on_request: RequestCallback | None = on_request
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._error: LocalResponse | None = None
         self._head_complete = False
         self._received_bytes = 0  # of the request that is not complete yet
-        self.is_partial = False  # part of a request has come
+        self.is_partial = False  # part of a request has been received
 
     def feed(self, data: bytes) -> LocalResponse | None:
-        """Parse what has come; return the response to fail the connection with, if it can't be accepted."""
+        """Parse what was received; return the response to fail the connection with if it is not accepted."""
         if self._parser is None:
             return None
         self._received_bytes += len(data)
@@ -118,7 +131,7 @@
         return None
 
     def close(self) -> None:
-        """Break the reference cycles, so that nothing is left to the garbage collector."""
+        """Parse nothing more; without its reference cycles the parser needs no garbage collection."""
         self._parser = None
         self._on_request = None
 
@@ -137,7 +150,8 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take one header."""
         if self._head_complete:
-            return  # a trailer: forwarded as a header it could name another request or customer
+            # A trailer is dropped: forwarded as a header it could name another request or customer.
+            return
         request = self._request
         lower_name = name.lower()
         if lower_name in PROTOCOL_HEADERS:
