--- a/limiter/process/reload.py
+++ b/limiter/process/reload.py
@@ -22,9 +22,9 @@
     except ConfigError as error:
         _log_rejected(error)
         return
-    proxy.discovery.move(config.discovery)
+    proxy.discovery.change_address(config.discovery)
     if proxy.counter is not None and config.counter is not None:
-        proxy.counter.move(config.counter)
+        proxy.counter.change_address(config.counter)
     log.info(
         "configuration_reloaded discovery=%s counter=%s",
         _format_address(config.discovery),
--- a/limiter/process/startup.py
+++ b/limiter/process/startup.py
@@ -33,7 +33,7 @@
     loop = asyncio.get_running_loop()
     clock = Clock()
     with closing(Proxy(config, clock)) as proxy:
-        proxy.discovery.known(config.known_endpoints)
+        proxy.discovery.set_known_endpoints(config.known_endpoints)
         stop_requested = asyncio.Event()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, stop_requested.set)
--- a/limiter/transport/clients/client_connection.py
+++ b/limiter/transport/clients/client_connection.py
@@ -10,7 +10,7 @@
 from limiter.transport.clients.client_response import LocalResponse, encode_response
 from limiter.transport.clients.request_parser import ParsedRequest, RequestParser
 from limiter.transport.driver.proxied_request import ProxiedRequest
-from limiter.transport.sockets import hung_up, unread
+from limiter.transport.sockets import has_peer_hung_up, has_unread_input
 
 # Requests that may wait on a connection behind the current one. More are bad input.
 MAX_PIPELINED_REQUESTS = 16
@@ -266,11 +266,15 @@
     @property
     def has_unread_input(self) -> bool:
         """Whether bytes, or the end of the client's sending, wait unread in the kernel."""
-        return self.transport is not None and not self.transport.is_closing() and unread(self.transport)
+        return (
+            self.transport is not None
+            and not self.transport.is_closing()
+            and has_unread_input(self.transport)
+        )
 
     def has_hung_up(self) -> bool:
         """Return whether the client has closed its connection, even if the loop has not read that yet."""
-        return self.transport is None or hung_up(self.transport)
+        return self.transport is None or has_peer_hung_up(self.transport)
 
     def close(self) -> None:
         """Close a connection without requests in hand; at once if its client does not read its responses."""
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -7,7 +7,7 @@
 import math
 from typing import assert_never
 
-from limiter.configuration.config import Address, Config
+from limiter.configuration.config import Config
 from limiter.model.actions import (
     Action,
     BroadcastGossip,
@@ -24,7 +24,6 @@
 from limiter.model.events import (
     CounterReply,
     DiscoveryPollFailed,
-    Endpoint,
     EndpointsChanged,
     EndpointState,
     Event,
@@ -34,8 +33,10 @@
 )
 from limiter.policy.engine import PolicyEngine
 from limiter.transport.clock import Clock
-from limiter.transport.counter.counter_client import CounterClient
-from limiter.transport.discovery.discovery_watch import DiscoveryWatch, NameNumbering, PollPacing
+from limiter.transport.counter.counter_client import CounterClient, CounterClientOptions
+from limiter.transport.discovery.discovery_watch import DiscoveryWatch, DiscoveryWatchOptions
+from limiter.transport.discovery.endpoint_list import ListedEndpoint, NameNumbering
+from limiter.transport.discovery.poll_pacing import PollPacing
 from limiter.transport.driver.request_forwarder import RequestForwarder
 from limiter.transport.gossip.gossip_socket import GossipSocket
 from limiter.transport.servers.server_pool import ServerPool
@@ -59,10 +60,9 @@
         self.settings = config.settings
         self.engine = PolicyEngine(config.settings, config.seed)
         self.pool = ServerPool(
-            self._loop,
-            config.dial_timeout_ms,
-            config.keepalive_ms,
-            config.descriptor_share(SERVER_CONNECTION_SHARE),
+            dial_timeout_ms=config.dial_timeout_ms,
+            keepalive_ms=config.keepalive_ms,
+            max_connections=config.descriptor_share(SERVER_CONNECTION_SHARE),
         )
         self.forwarder = RequestForwarder(clock, config.settings, self.pool, self._handle_event)
         self.requests = self.forwarder.requests
@@ -75,27 +75,27 @@
     def _make_counter(self, config: Config) -> CounterClient | None:
         if config.counter is None:
             return None
-        timeout = config.settings.counter_timeout
-        return CounterClient(
-            self._loop, config.counter, timeout, config.dial_timeout_ms, self._counter_replied
+        options = CounterClientOptions(
+            address=config.counter,
+            timeout_ms=config.settings.counter_timeout,
+            dial_timeout_ms=config.dial_timeout_ms,
         )
+        return CounterClient(options, self._counter_replied)
 
     def _make_gossip(self, config: Config) -> GossipSocket | None:
         if config.gossip is None:
             return None
-        return GossipSocket(self._loop, config.gossip, config.settings.limiter_index, self._gossip_received)
+        return GossipSocket(config.gossip, config.settings.limiter_index, self._gossip_received)
 
     def _make_discovery(self, config: Config) -> DiscoveryWatch:
         settings = config.settings
-        return DiscoveryWatch(
-            self._loop,
-            config.discovery,
-            NameNumbering(config.zone_names, config.kind_names),
-            config.dial_timeout_ms,
-            PollPacing.of(settings.limiter_count, pushed=not settings.polls_discovery),
-            self.servers_changed,
-            self._discovery_failed,
+        options = DiscoveryWatchOptions(
+            address=config.discovery,
+            names=NameNumbering(config.zone_names, config.kind_names),
+            dial_timeout_ms=config.dial_timeout_ms,
+            pacing=PollPacing.for_fleet(settings.limiter_count, is_pushed=not settings.polls_discovery),
         )
+        return DiscoveryWatch(options, self.servers_changed, self._discovery_failed)
 
     @property
     def ready(self) -> bool:
@@ -105,7 +105,7 @@
     # Events from outside
 
     def servers_changed(
-        self, servers: list[tuple[Endpoint, Address]], is_full_list: bool, from_cache: bool = False
+        self, servers: list[ListedEndpoint], is_full_list: bool, from_cache: bool = False
     ) -> None:
         """Apply the endpoint list, or what changed of it."""
         listed = set()
@@ -155,7 +155,7 @@
             case BroadcastGossip():
                 self._broadcast_gossip(action)
             case PollDiscovery():
-                self.discovery.call()
+                self.discovery.allow_next_poll()
             case LogMessage():
                 log.info("policy_message text=%s", action.text)
             case SendHealthCheck():
--- a/limiter/transport/driver/request_forwarder.py
+++ b/limiter/transport/driver/request_forwarder.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import asyncio
-import time
 from collections.abc import Callable
+from functools import partial
 from typing import assert_never
 
 from limiter.model.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt
@@ -81,7 +81,7 @@
             return
         request.finish()
         for attempt in request.in_flight:
-            self._pool.cancel_unsent(attempt, Outcome.CANCELLED)
+            attempt.cancel_unsent(Outcome.CANCELLED)
         # The policy has not seen a request that is not submitted, and has seen the end of a finished one.
         if is_submitted and not was_finished:
             self._handle_event(ClientDisconnected(request.event.id))
@@ -94,7 +94,7 @@
         """
         request.expire(self._clock())
         for attempt in request.in_flight[:]:
-            self._pool.abandon(attempt)
+            attempt.abandon()
         if not request.finished:
             self._respond_at_deadline(request)
             self._handle_event(ClientDisconnected(request.event.id))
@@ -129,11 +129,10 @@
         timeout_ms = min(action.timeout, remaining_ms) if action.timeout else remaining_ms
         data = b"%bX-Deadline-Ms: %d\r\n\r\n%b" % (request.head, max(1, int(timeout_ms)), request.body)
         attempt = Attempt(
-            request,
             request.attempt_count,
             action.endpoint_id,
             data,
-            self._attempt_ended,
+            partial(self._attempt_ended, request),
             request.finish_if_hung_up,
         )
         request.attempt_started(attempt)
@@ -148,10 +147,11 @@
         """Stop waiting for an attempt."""
         for attempt in request.in_flight:
             if attempt.number == number:
-                self._loop.call_soon(self._pool.abandon, attempt, Outcome.CANCELLED)
+                self._loop.call_soon(attempt.abandon, Outcome.CANCELLED)
 
-    def _attempt_ended(self, attempt: Attempt, outcome: Outcome, body: bytes, content_type: bytes) -> None:
-        request: ProxiedRequest = attempt.owner
+    def _attempt_ended(
+        self, request: ProxiedRequest, attempt: Attempt, outcome: Outcome, body: bytes, content_type: bytes
+    ) -> None:
         request.attempt_ended(attempt, outcome)
         if outcome is Outcome.OK:
             self.requests.respond(request, 200, body, content_type)
@@ -159,11 +159,11 @@
             AttemptEnded(
                 request.event.id,
                 attempt.number,
-                attempt.server,
+                attempt.server_id,
                 outcome,
-                latency=(time.monotonic() - attempt.started) * 1000,
+                latency=attempt.elapsed_ms(),
                 request_finished=request.finished,
-                stale_connection=attempt.stale,
+                stale_connection=attempt.is_connection_stale,
             )
         )
         self.requests.release_if_done(request)
--- a/scale/process/environment.py
+++ b/scale/process/environment.py
@@ -1,4 +1,4 @@
-"""The stand-ins around one limiter process, and what they count."""
+"""The emulated peers around one limiter process, and what they count."""
 
 from __future__ import annotations
 
@@ -23,24 +23,26 @@
 class Environment:
     """Servers, discovery, counter, gossip peers and clients of the limiter under test."""
 
-    endpoints: EndpointList  # these two from `start` on
+    # `start` makes both, as they need the addresses of the servers.
+    endpoints: EndpointList
     discovery: Discovery
 
     def __init__(self, experiment: ProcessExperiment, servers: int, limiters: int, rng: Random) -> None:
-        """Make the stand-ins for lists of `servers` and a tier of `limiters`; none is started."""
+        """Make the emulated peers for a list of `servers` and a fleet of `limiters`; none is started."""
         self.experiment = experiment
         self.limiters = limiters
         self.servers = Servers(experiment.work_ms)
         self.counter = Counter(experiment.counter_per_s)
-        self.clients: Clients | None = None  # from `start_clients` on
-        self.delays: list[float] = []  # s that stand-ins acted after their time, in this phase
+        # None until the limiter is ready and `start_clients` is called.
+        self.clients: Clients | None = None
+        self.delays: list[float] = []  # seconds by which each action of this phase was late
         self._endpoint_count = servers
         self._rng = rng
         self._customers = rng.sample(range(CUSTOMER_IDS), experiment.customers)
         self.peers = GossipPeers(limiters, self._customers, experiment.entries, rng)
 
     async def start(self, folder: Path) -> LimiterProcess:
-        """Start the stand-ins but the clients, and the limiter, with its configuration in `folder`."""
+        """Start all emulated peers but the clients, then the limiter with its configuration in `folder`."""
         await self.servers.start(self.experiment.listeners)
         self.endpoints = EndpointList(self._endpoint_count, self.servers.addresses)
         self.discovery = Discovery(self.endpoints)
@@ -65,7 +67,7 @@
         return self.clients
 
     def close(self) -> None:
-        """Close all stand-ins."""
+        """Close all emulated peers."""
         self.servers.close()
         self.discovery.close()
         self.counter.close()
@@ -74,7 +76,7 @@
             self.clients.close()
 
     def counts(self) -> Tally[str]:
-        """All that is counted, by the names of the result lines; differences of two are what came between."""
+        """All that was counted so far, by the keys of the result lines."""
         tally = Tally(
             watches=self.discovery.calls,
             changes=self.endpoints.change_count,
@@ -96,7 +98,7 @@
         return tally
 
     async def repeat(self, action: Callable[[], None], per_s: float, seconds: float) -> None:
-        """Call `action` at that rate, evenly, from now on; delayed calls are made up for."""
+        """Call `action` at that rate, evenly, from now on; a late call shifts none of the later ones."""
         if not per_s:
             return
         started_at = time.monotonic()
--- a/tests/transport/test_server_connection_races.py
+++ b/tests/transport/test_server_connection_races.py
@@ -11,7 +11,7 @@
 from limiter.transport.servers import server_pool
 from limiter.transport.servers.attempt import Attempt
 from limiter.transport.servers.server_pool import ServerPool
-from limiter.transport.sockets import unread
+from limiter.transport.sockets import has_unread_input
 from tests.support.client import http_request
 from tests.support.fake_server import Answer, FakeServer, ReceivedRequest, never_answer, respond_with
 from tests.support.in_process_limiter import RawClient, in_process_limiter
@@ -50,7 +50,7 @@
     def on_ended(_attempt: Attempt, outcome: Outcome, body: bytes, _content_type: bytes) -> None:
         results.append((outcome, body))
 
-    pool.send(Attempt(None, 0, b"s-0", request, on_ended), ATTEMPT_TIMEOUT_SECONDS)
+    pool.send(Attempt(0, b"s-0", request, on_ended), ATTEMPT_TIMEOUT_SECONDS)
     await wait_until(lambda: results)
     [result] = results
     return result
@@ -69,13 +69,13 @@
         client.send(http_request("order", request_id="1"))
         response = await client.response()
         assert (response.status, response.body) == (200, b"1")
-        [connection] = proxy.pool.idle
+        [connection] = proxy.pool.connections.idle
         if second_response:
             responder.writers[0].write(second_response)  # It is in the limiter's kernel at once.
         else:
             responder.writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
         assert connection.transport is not None
-        assert unread(connection.transport)
+        assert has_unread_input(connection.transport)
         result = await result_of_attempt(proxy.pool, http_request("order", request_id="2"))
         assert result == (Outcome.OK, b"2")
 
@@ -89,6 +89,8 @@
         client.send(http_request())
         await wait_until(lambda: responder.writers)
         [request] = proxy.requests.unanswered()
-        assert not unread(responder.writers[0].transport)
-        proxy.pool.abandon(request.in_flight[0])
-        assert unread(responder.writers[0].transport)  # The end of the connection has arrived already.
+        assert not has_unread_input(responder.writers[0].transport)
+        request.in_flight[0].abandon()
+        assert has_unread_input(
+            responder.writers[0].transport
+        )  # The end of the connection has arrived already.
