--- a/scale/hollow/faults.py
+++ b/scale/hollow/faults.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from scale.hollow.context import Context
+from scale.hollow.discovery import Discovery
 from scale.hollow.limiters import LimiterHost
 from scale.hollow.plan import (
     CounterOutage,
@@ -20,7 +21,9 @@
 class FaultInjector:
     """Schedules the experiment's faults and carries them out."""
 
-    def __init__(self, context: Context, host: LimiterHost, servers: ServerFleet) -> None:
+    def __init__(
+        self, context: Context, host: LimiterHost, servers: ServerFleet, discovery: Discovery
+    ) -> None:
         """Schedule nothing until `start`."""
         self._faults = context.experiment.faults
         self._clock = context.clock
@@ -28,6 +31,7 @@
         self._partitioned_regions = context.network.partitioned_regions
         self._host = host
         self._servers = servers
+        self._discovery = discovery
 
     def start(self) -> None:
         """Schedule all faults of the experiment."""
@@ -39,13 +43,13 @@
             case RestartLimiters():
                 self._restart_limiters(fault)
             case RestartServers():
-                up = self._servers.up()
-                chosen = [up[index] for index in self._sample(len(up), fault.share)]
+                running = self._servers.running()
+                chosen = [running[index] for index in self._sample(len(running), fault.share)]
                 self._servers.stop(chosen, fault.down, is_machine_lost=False)
             case DrainServers():
-                up = self._servers.up()
-                for index in self._sample(len(up), fault.share):
-                    self._servers.drain(up[index], fault.drain)
+                running = self._servers.running()
+                for index in self._sample(len(running), fault.share):
+                    self._servers.drain(running[index], fault.drain)
             case LoseZone():
                 self._lose_zone(fault)
             case CutRegions():
@@ -53,11 +57,11 @@
                 end = self._clock.now + fault.lasting
                 self._clock.call_at(end, self._partitioned_regions.discard, fault.region)
             case CounterOutage():
-                self._host.counter.is_down = True
+                self._host.counter.fail()
                 self._clock.call_at(self._clock.now + fault.lasting, self._host.counter.restore)
             case DiscoveryOutage():
-                self._host.discovery.is_down = True
-                self._clock.call_at(self._clock.now + fault.lasting, self._host.discovery.restore)
+                self._discovery.fail()
+                self._clock.call_at(self._clock.now + fault.lasting, self._discovery.restore)
 
     def _sample(self, count: int, share: float) -> list[int]:
         """Draw that share of the numbers below `count`."""
@@ -74,7 +78,7 @@
 
     def _lose_zone(self, fault: LoseZone) -> None:
         if fault.servers:
-            in_zone = [server for server in self._servers.up() if server.zone == fault.zone]
+            in_zone = [server for server in self._servers.running() if server.zone == fault.zone]
             self._servers.stop(in_zone, fault.lasting, is_machine_lost=True)
         if not fault.limiters:
             return
