--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -5,11 +5,11 @@
 import asyncio
 import logging
 import math
-from collections.abc import Callable
-from typing import Any
+from typing import assert_never
 
 from limiter.configuration.config import Config
 from limiter.model.actions import (
+    Action,
     BroadcastGossip,
     CancelAttempt,
     FailRequest,
@@ -34,7 +34,9 @@
 from limiter.policy.engine import PolicyEngine
 from limiter.transport.clock import Clock
 from limiter.transport.counter.counter_client import CounterClient, CounterClientOptions
-from limiter.transport.discovery.endpoint_list import ListedEndpoint
+from limiter.transport.discovery.discovery_watch import DiscoveryWatch, DiscoveryWatchOptions
+from limiter.transport.discovery.endpoint_list import ListedEndpoint, NameNumbering
+from limiter.transport.discovery.poll_pacing import PollPacing
 from limiter.transport.driver.request_forwarder import RequestForwarder
 from limiter.transport.gossip.gossip_socket import GossipSocket
 from limiter.transport.servers.server_pool import ServerPool
@@ -51,9 +53,9 @@
     The engine sees events one at a time; each of its actions is carried out before the next event.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, clock: Clock) -> None:
+    def __init__(self, config: Config, clock: Clock) -> None:
         """Open the socket for gossip; the other connections are opened when they are needed."""
-        self._loop = loop
+        self._loop = asyncio.get_running_loop()
         self._clock = clock
         self.settings = config.settings
         self.engine = PolicyEngine(config.settings, config.seed)
@@ -62,15 +64,13 @@
             keepalive_ms=config.keepalive_ms,
             max_connections=config.descriptor_share(SERVER_CONNECTION_SHARE),
         )
-        self.forwarder = RequestForwarder(loop, clock, config.settings, self.pool, self._handle_event)
+        self.forwarder = RequestForwarder(clock, config.settings, self.pool, self._handle_event)
         self.requests = self.forwarder.requests
         self.counter = self._make_counter(config)
         self._gossip = self._make_gossip(config)
+        self.discovery = self._make_discovery(config)  # polls nothing until it is started
         self._ready_servers: set[bytes] = set()
-        # Set by whoever watches discovery: called when the next poll may be made.
-        self.poll_discovery: Callable[[], None] = lambda: None
-        self._actions = self._action_handlers()
-        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     def _make_counter(self, config: Config) -> CounterClient | None:
         if config.counter is None:
@@ -87,19 +87,15 @@
             return None
         return GossipSocket(config.gossip, config.settings.limiter_index, self._gossip_received)
 
-    def _action_handlers(self) -> dict[type, Callable[[Any], None]]:
-        return {
-            SendAttempt: self.forwarder.send_attempt,
-            CancelAttempt: self.forwarder.cancel_attempt,
-            RejectRequest: self._reject_request,
-            FailRequest: self._fail_request,
-            IncrementCounter: self._increment_counter,
-            SetTimer: self._set_timer,
-            BroadcastGossip: self._broadcast_gossip,
-            LogMessage: self._log_message,
-            PollDiscovery: self._poll_discovery,
-            SendHealthCheck: self._ignore,  # the settings allow none
-        }
+    def _make_discovery(self, config: Config) -> DiscoveryWatch:
+        settings = config.settings
+        options = DiscoveryWatchOptions(
+            address=config.discovery,
+            names=NameNumbering(config.zone_names, config.kind_names),
+            dial_timeout_ms=config.dial_timeout_ms,
+            pacing=PollPacing.for_fleet(settings.limiter_count, is_pushed=not settings.polls_discovery),
+        )
+        return DiscoveryWatch(options, self.servers_changed, self._discovery_failed)
 
     @property
     def ready(self) -> bool:
@@ -131,7 +127,7 @@
         endpoints = tuple(endpoint for endpoint, _ in servers)
         self._handle_event(EndpointsChanged(endpoints, is_full_list, from_cache))
 
-    def discovery_failed(self, rejected: bool) -> None:
+    def _discovery_failed(self, rejected: bool) -> None:
         """Note that a poll brought no list; `rejected` says that discovery turned it away."""
         self._handle_event(DiscoveryPollFailed(rejected))
 
@@ -145,18 +141,27 @@
 
     def _handle_event(self, event: Event) -> None:
         for action in self.engine.handle(self._clock(), event):
-            self._actions[type(action)](action)
-
-    def _reject_request(self, action: RejectRequest) -> None:
-        request = self.requests.by_number.get(action.request_id)
-        if request is not None:
-            status = 503 if request.attempt_count else 429
-            self.requests.respond(request, status, retry_after_ms=action.retry_after)
-
-    def _fail_request(self, action: FailRequest) -> None:
-        request = self.requests.by_number.get(action.request_id)
-        if request is not None:
-            self.requests.respond(request, 502)
+            self._carry_out(action)
+
+    def _carry_out(self, action: Action) -> None:
+        # The most frequent actions come first: each class is compared in turn.
+        match action:
+            case SendAttempt() | RejectRequest() | FailRequest() | CancelAttempt():
+                self.forwarder.carry_out(action)
+            case SetTimer():
+                self._set_timer(action)
+            case IncrementCounter():
+                self._increment_counter(action)
+            case BroadcastGossip():
+                self._broadcast_gossip(action)
+            case PollDiscovery():
+                self.discovery.allow_next_poll()
+            case LogMessage():
+                log.info("policy_message text=%s", action.text)
+            case SendHealthCheck():
+                pass  # The limiter's settings allow no health checks.
+            case _:
+                assert_never(action)
 
     def _increment_counter(self, action: IncrementCounter) -> None:
         if self.counter is not None:
@@ -182,15 +187,6 @@
         if self._gossip is not None:
             self._gossip.broadcast(action.body)
 
-    def _log_message(self, action: LogMessage) -> None:
-        log.info("policy_message text=%s", action.text)
-
-    def _poll_discovery(self, _: PollDiscovery) -> None:
-        self.poll_discovery()
-
-    def _ignore(self, _: SendHealthCheck) -> None:
-        pass
-
     # The process
 
     def _sweep(self) -> None:
@@ -200,6 +196,7 @@
     def close(self) -> None:
         """Close all sockets and connections."""
         self._sweep_timer.cancel()
+        self.discovery.close()
         if self.counter is not None:
             self.counter.close()
         if self._gossip is not None:
--- a/tests/transport/test_lifecycle.py
+++ b/tests/transport/test_lifecycle.py
@@ -93,7 +93,7 @@
 async def test_the_policys_timers_never_fire_early() -> None:
     """The policy ignores a timer that fires before its time, and its housekeeping would stop for good."""
     clock = Clock()
-    proxy = Proxy(asyncio.get_running_loop(), parse(configuration()), clock)
+    proxy = Proxy(parse(configuration()), clock)
     due_ms = {token: clock() + 10.0 + token for token in range(5)}
     recorder = TimerRecorder(due_ms)
     proxy.engine = recorder  # type: ignore[assignment]
--- a/tests/transport/test_startup.py
+++ b/tests/transport/test_startup.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from limiter import __main__
 from limiter.configuration.config import Config, parse
+from limiter.process import startup
 from tests.support.client import Connection, Response, http_request
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer
@@ -54,7 +54,7 @@
 
 async def test_listening_waits_for_what_changed_since_the_known_list(monkeypatch: pytest.MonkeyPatch) -> None:
     """No request goes to a server that drained while the limiter did not run."""
-    monkeypatch.setattr(__main__, "DISCOVERY_WAIT_SECONDS", 10 * PATIENCE_SECONDS)
+    monkeypatch.setattr(startup, "DISCOVERY_WAIT_SECONDS", 10 * PATIENCE_SECONDS)
     draining = FakeServer("s-0")
     ready = FakeServer("s-1")
     discovery = FakeDiscovery()
@@ -63,7 +63,7 @@
     discovery.is_responding = False  # It accepts the limiter's call and holds its response back.
     discovery.publish(draining.list_entry("leaving"), ready.list_entry(), full_list=True)
     port = free_port()
-    limiter = asyncio.create_task(__main__.run(configuration_between(port, discovery, [draining, ready])))
+    limiter = asyncio.create_task(startup.run(configuration_between(port, discovery, [draining, ready])))
     await wait_until(lambda: discovery.calls, "discovery is polled")
     with pytest.raises(ConnectionRefusedError):
         await asyncio.open_connection("127.0.0.1", port)
