--- a/tests/support/fake_peer.py
+++ b/tests/support/fake_peer.py
@@ -37,7 +37,7 @@
         return f"127.0.0.1:{self.port}"
 
     def reset_connections(self) -> None:
-        """Reset all connections."""
+        """Reset all connections that were accepted since `listen`."""
         for writer in self.writers:
             writer.transport.abort()
 
--- a/tests/transport/conftest.py
+++ b/tests/transport/conftest.py
@@ -13,8 +13,8 @@
 from tests.support.harness import HarnessOptions, LimiterHarness, marked_options, running_limiter
 from tests.support.waiting import PATIENCE_SECONDS
 
-# An asynchronous test that has not ended by then has failed: its event loop would wait for ever for something
-# that does not come. It leaves room for three waits of which each takes all its patience on a busy machine.
+# Longest time that an asynchronous test may take. Without a bound, a test would wait for ever for something that
+# does not come. Three waits, each as long as it may take on a busy machine, fit into it.
 TEST_TIMEOUT_SECONDS = 3 * PATIENCE_SECONDS
 
 
--- a/tests/transport/test_backoff.py
+++ b/tests/transport/test_backoff.py
@@ -1,4 +1,4 @@
-"""The backoff between two tries to connect."""
+"""The backoff between two attempts to connect."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 
 def within_jitter(seconds: float) -> object:
+    """Return a value that equals all delays which jitter may make of this one."""
     return pytest.approx(seconds, rel=JITTER)
 
 
--- a/tests/transport/test_client_response.py
+++ b/tests/transport/test_client_response.py
@@ -1,4 +1,4 @@
-"""The text of responses to clients."""
+"""The status line of responses to clients."""
 
 from __future__ import annotations
 
--- a/tests/transport/test_counter_client.py
+++ b/tests/transport/test_counter_client.py
@@ -89,7 +89,7 @@
     ],
 )
 @limiter_with(settings=settings_with_quota(rate=5.0, burst=4.0))
-async def test_invalid_reply_ends_the_connection_and_requests_are_still_answered(
+async def test_invalid_reply_ends_the_connection_and_requests_still_get_responses(
     harness: LimiterHarness, reply: bytes
 ) -> None:
     harness.counter.reply_override = reply
@@ -147,7 +147,7 @@
 
 
 @limiter_with(settings=settings_with_quota(rate=0.5, burst=1.0))
-async def test_requests_held_for_the_counter_end_when_nothing_answers(harness: LimiterHarness) -> None:
+async def test_requests_held_for_the_counter_end_without_any_reply(harness: LimiterHarness) -> None:
     harness.discovery.is_responding = False
     harness.counter.delay_seconds = 5.0
     harness.servers[0].responder = never_respond
--- a/tests/transport/test_discovery_watch_races.py
+++ b/tests/transport/test_discovery_watch_races.py
@@ -30,7 +30,7 @@
 
 
 @limiter_with(servers=2)
-async def test_an_old_agent_that_answers_after_the_move_is_ignored(harness: LimiterHarness) -> None:
+async def test_an_old_agent_that_responds_after_the_move_is_ignored(harness: LimiterHarness) -> None:
     """Only lists of the agent that the configuration names are applied."""
     listed, unlisted = harness.servers
     new_discovery = FakeDiscovery()
--- a/tests/transport/test_lifecycle.py
+++ b/tests/transport/test_lifecycle.py
@@ -123,7 +123,9 @@
 # Signals
 
 
-async def test_sigterm_answers_open_requests_and_exits_with_0(harness: LimiterHarness) -> None:
+async def test_open_requests_get_their_responses_after_sigterm_and_the_exit_code_is_0(
+    harness: LimiterHarness,
+) -> None:
     """New connections are accepted for a while; each connection is closed with its next response."""
     released = asyncio.Event()
     harness.servers[0].responder = respond_after(released, respond_with(200, b"complete"))
@@ -148,7 +150,7 @@
 
 
 @limiter_with(servers=1)
-async def test_sigterm_ends_requests_that_no_server_answers(harness: LimiterHarness) -> None:
+async def test_sigterm_ends_requests_that_no_server_responds_to(harness: LimiterHarness) -> None:
     """A request that may have run gets a failure, never a rejection."""
     harness.servers[0].responder = never_respond
     keyed = await harness.connect()
--- a/tests/transport/test_requests.py
+++ b/tests/transport/test_requests.py
@@ -82,13 +82,13 @@
     assert {received.connection_number for received in harness.received} == {1}
 
 
-async def test_pipelined_requests_are_answered_in_order(harness: LimiterHarness) -> None:
+async def test_pipelined_requests_get_their_responses_in_order(harness: LimiterHarness) -> None:
     client = await harness.connect()
     client.send(http_request(request_id="1") + HEALTH_CHECK + http_request(request_id="2"))
     assert [(await client.response()).body for _ in range(3)] == [b"from s-0", b"ready\n", b"from s-0"]
 
 
-async def test_request_that_no_server_answers_ends_at_its_deadline(harness: LimiterHarness) -> None:
+async def test_request_that_no_server_responds_to_ends_at_its_deadline(harness: LimiterHarness) -> None:
     harness.servers[0].responder = never_respond
     client = await harness.connect()
     began = time.monotonic()
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "responder",
     [
         never_respond,
         reset_connection,
@@ -112,9 +112,9 @@
     ids=["no response", "reset", "incomplete response", "error without proof"],
 )
 async def test_keyed_request_that_may_have_run_fails_and_is_never_rejected(
-    harness: LimiterHarness, answer: Responder
+    harness: LimiterHarness, responder: Responder
 ) -> None:
-    harness.servers[0].responder = answer
+    harness.servers[0].responder = responder
     assert (await harness.send_request(http_request("submit", deadline_ms=400))).status in (502, 504)
 
 
@@ -142,13 +142,13 @@
 def respond_endlessly(head: bytes, piece: bytes) -> Responder:
     """Return a responder that writes the piece after the head for as long as the limiter reads."""
 
-    async def answer(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def respond(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(head)
         while True:  # `drain` fails once the limiter has closed the connection.
             writer.write(piece)
             await writer.drain()
 
-    return answer
+    return respond
 
 
 INVALID_RESPONSES = {
@@ -176,11 +176,11 @@
 }
 
 
-@pytest.mark.parametrize("answer", INVALID_RESPONSES.values(), ids=INVALID_RESPONSES.keys())
+@pytest.mark.parametrize("responder", INVALID_RESPONSES.values(), ids=INVALID_RESPONSES.keys())
 async def test_invalid_response_fails_the_attempt_and_closes_the_connection(
-    harness: LimiterHarness, answer: Responder
+    harness: LimiterHarness, responder: Responder
 ) -> None:
-    harness.servers[0].responder = answer
+    harness.servers[0].responder = responder
     # The limiter notices invalid bytes, or that the rest does not come, long before the deadline.
     assert (await harness.send_request(http_request("submit", deadline_ms=60_000))).status in (502, 504)
     harness.servers[0].responder = respond_with(200, b"fine")
--- a/tests/transport/test_server_pool.py
+++ b/tests/transport/test_server_pool.py
@@ -90,8 +90,8 @@
 
 async def test_reset_of_a_reused_connection_before_any_response_is_stale(driver: PoolDriver) -> None:
     """The three attempts are sent on a new connection, on the same one, and on a new one again."""
-    for answer in (respond_with(200), reset_connection, reset_connection):
-        driver.server.responder = answer
+    for responder in (respond_with(200), reset_connection, reset_connection):
+        driver.server.responder = responder
         driver.send()
         await driver.wait_for_end()
         await asyncio.sleep(2 * SETTLE_SECONDS)
