--- a/tests/transport/conftest.py
+++ b/tests/transport/conftest.py
@@ -13,7 +13,7 @@
 from tests.support.harness import HarnessOptions, LimiterHarness, marked_options, running_limiter
 from tests.support.waiting import PATIENCE_SECONDS
 
-# Longest time that an asynchronous test may take. Without a bound, a test would wait for ever for an event that
+# Longest time that an asynchronous test may take. Without it, a test would wait for ever for an event that
 # does not come. Three waits, each as long as it may take on a busy machine, fit into it.
 TEST_TIMEOUT_SECONDS = 3 * PATIENCE_SECONDS
 
