--- a/limiter/policy/open_request.py
+++ b/limiter/policy/open_request.py
@@ -5,7 +5,6 @@
 from dataclasses import dataclass, field
 
 from limiter.model.events import ClientRequest, Endpoint, EndpointId
-from limiter.model.records import ServerRecord
 from limiter.model.settings import RequestClass
 from limiter.policy.admission_notes import AdmissionNotes
 from limiter.policy.customer import Customer
@@ -28,15 +27,13 @@
     admission: AdmissionNotes = field(default_factory=AdmissionNotes)
     tried: set[EndpointId] = field(default_factory=set)
 
-    def start_attempt(self, now: float, server: ServerRecord) -> None:
-        """Count an attempt that is sent to the server now."""
+    def start_attempt(self, now: float, endpoint: Endpoint) -> None:
+        """Count an attempt that is sent to the server at this endpoint now."""
         if self.first_endpoint is None:
-            self.first_endpoint = server.endpoint
+            self.first_endpoint = endpoint
             self.first_sent_at = now
             self.first_attempt = self.attempts
-        self.tried.add(server.endpoint.id)
-        server.in_flight[(self.request.id, self.attempts)] = now
-        server.last_sent_at = now
+        self.tried.add(endpoint.id)
         self.attempts += 1
         self.in_flight += 1
         self.customer.start_attempt()
