--- a/limiter/__main__.py
+++ b/limiter/__main__.py
@@ -15,7 +15,9 @@
 
 import uvloop
 
-from limiter.configuration.config import Address, Config, ConfigError, load, reload
+from limiter.configuration.addresses import Address
+from limiter.configuration.config import Config, ConfigError
+from limiter.configuration.config_loader import load, reload
 from limiter.model.settings import Settings
 from limiter.transport.clients.listener import Listener
 from limiter.transport.clock import Clock
--- a/limiter/transport/clients/listener.py
+++ b/limiter/transport/clients/listener.py
@@ -5,7 +5,8 @@
 import asyncio
 import socket
 
-from limiter.configuration.config import Address, Config
+from limiter.configuration.addresses import Address
+from limiter.configuration.config import Config
 from limiter.transport.clients.client_connection import ClientConnection
 from limiter.transport.clients.connection_registry import ConnectionRegistry
 from limiter.transport.clients.request_handler import ProxyRequestHandler
--- a/limiter/transport/counter/counter_client.py
+++ b/limiter/transport/counter/counter_client.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from limiter.configuration.config import Address
+from limiter.configuration.addresses import Address
 from limiter.model.events import Outcome
 from limiter.transport.backoff import Backoff
 from limiter.transport.counter.counter_connection import (
--- a/limiter/transport/discovery/discovery_watch.py
+++ b/limiter/transport/discovery/discovery_watch.py
@@ -9,7 +9,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from limiter.configuration.config import Address, ConfigError
+from limiter.configuration.addresses import Address
+from limiter.configuration.config import ConfigError
 from limiter.transport.backoff import Backoff
 from limiter.transport.discovery.discovery_connection import (
     DiscoveryConnection,
--- a/limiter/transport/discovery/endpoint_list.py
+++ b/limiter/transport/discovery/endpoint_list.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-from limiter.configuration.config import Address, address
+from limiter.configuration.addresses import Address, parse_address
 from limiter.model.events import Endpoint, EndpointState
 
 LIFECYCLE_STATES = {
@@ -131,7 +131,7 @@
         weight=float(weight),
         started_at=float(started_at_ms),
     )
-    return ListedEndpoint(endpoint, address(item["hostPort"]))
+    return ListedEndpoint(endpoint, parse_address(item["hostPort"]))
 
 
 def _parse_state(lifecycle: Any) -> EndpointState:
--- a/limiter/transport/gossip/gossip_socket.py
+++ b/limiter/transport/gossip/gossip_socket.py
@@ -8,7 +8,8 @@
 from collections.abc import Callable
 
 from limiter.codecs.gossip_messages import MAX_MESSAGE_BYTES
-from limiter.configuration.config import Address, GossipConfig
+from limiter.configuration.addresses import Address
+from limiter.configuration.config import GossipConfig
 
 log = logging.getLogger(__name__)
 
--- a/limiter/transport/servers/pooled_server.py
+++ b/limiter/transport/servers/pooled_server.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from limiter.configuration.config import Address
+from limiter.configuration.addresses import Address
 from limiter.model.events import Outcome
 from limiter.transport.servers.attempt import Attempt
 from limiter.transport.servers.reuse_history import ReuseHistory
--- a/limiter/transport/servers/server_pool.py
+++ b/limiter/transport/servers/server_pool.py
@@ -7,7 +7,7 @@
 import time
 from functools import partial
 
-from limiter.configuration.config import Address
+from limiter.configuration.addresses import Address
 from limiter.model.events import Outcome
 from limiter.transport.servers.attempt import Attempt
 from limiter.transport.servers.pooled_server import ConnectionTable, PooledServer
--- a/scale/process/engine_benchmark.py
+++ b/scale/process/engine_benchmark.py
@@ -6,7 +6,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from limiter.configuration.config import parse
+from limiter.configuration.config_parser import parse
 from limiter.model.actions import Action, IncrementCounter, SendAttempt, SetTimer
 from limiter.model.events import (
     AttemptEnded,
--- a/tests/configuration/test_settings_forms.py
+++ b/tests/configuration/test_settings_forms.py
@@ -8,7 +8,8 @@
 import pytest
 
 from limiter.codecs.settings_text import decode_settings_text
-from limiter.configuration.config import ConfigError, parse
+from limiter.configuration.config import ConfigError
+from limiter.configuration.config_parser import parse
 from limiter.configuration.settings_json import flatten_settings
 from limiter.configuration.settings_reader import SettingsReader, format_value, read_settings
 from limiter.model.settings import DedupScope, Idempotency, SettingsError
--- a/tests/scale/test_process_emulated_peers.py
+++ b/tests/scale/test_process_emulated_peers.py
@@ -14,7 +14,7 @@
 import pytest
 
 from limiter.codecs.gossip_messages import decode_usage
-from limiter.configuration.config import parse
+from limiter.configuration.config_parser import parse
 from limiter.model.events import Endpoint, EndpointState
 from limiter.model.settings import Settings
 from limiter.policy.context import PolicyContext
--- a/tests/support/in_process_limiter.py
+++ b/tests/support/in_process_limiter.py
@@ -7,7 +7,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-from limiter.configuration.config import parse
+from limiter.configuration.config_parser import parse
 from limiter.model.events import Endpoint, EndpointState
 from limiter.transport.clients.listener import Listener
 from limiter.transport.clock import Clock
--- a/tests/transport/test_gossip_socket.py
+++ b/tests/transport/test_gossip_socket.py
@@ -10,7 +10,9 @@
 import pytest
 
 from limiter.codecs.gossip_messages import REPORT_PREFIX
-from limiter.configuration.config import Address, ConfigError, parse
+from limiter.configuration.addresses import Address
+from limiter.configuration.config import ConfigError
+from limiter.configuration.config_parser import parse
 from tests.support.client import Response, http_request
 from tests.support.harness import HarnessOptions, LimiterHarness, limiter_with
 from tests.support.limiter_settings import settings, settings_with_quota
--- a/tests/transport/test_lifecycle.py
+++ b/tests/transport/test_lifecycle.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from limiter.configuration.config import parse
+from limiter.configuration.config_parser import parse
 from limiter.model.actions import Action
 from limiter.model.events import Event, TimerFired
 from limiter.transport.clock import Clock
--- a/tests/transport/test_sample_configuration.py
+++ b/tests/transport/test_sample_configuration.py
@@ -13,7 +13,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from limiter.configuration.config import load
+from limiter.configuration.config_loader import load
 from tests.support.waiting import PATIENCE_SECONDS
 
 ROOT = Path(__file__).parents[2]
--- a/tests/transport/test_startup.py
+++ b/tests/transport/test_startup.py
@@ -10,7 +10,8 @@
 import pytest
 
 from limiter import __main__
-from limiter.configuration.config import Config, parse
+from limiter.configuration.config import Config
+from limiter.configuration.config_parser import parse
 from tests.support.client import Connection, Response, http_request
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer
