--- a/limiter/codecs/gossip_messages.py
+++ b/limiter/codecs/gossip_messages.py
@@ -1,9 +1,25 @@
-"""The datagrams between limiters: usage of customers, and servers that discovery reports as draining or gone.
-
-A usage message is a header (attempts in flight, their mean latency in ms), then for each plan a group header
-(plan, number of entries) and its entries of five bytes: 33 bits of customer and 7 bits of units. An endpoint
-report is a prefix that reads as a usage message of a plan that does not exist, so that older versions ignore
-it, a byte that is 1 if its sender has just polled discovery, and endpoint ids, each after its length.
+"""Codec of the datagrams between limiters. All numbers are big-endian.
+
+A usage message states how many units its sender has forwarded, by customer. It is a header and groups of
+entries, one group for each plan, to the end of the datagram:
+
+    | part         | bytes | content                                                        |
+    | ------------ | ----- | -------------------------------------------------------------- |
+    | header       | 1     | attempts in flight at the sender, 255 at most                  |
+    |              | 2     | their mean latency in ms, 65,535 at most                       |
+    | group header | 1     | index of the plan                                              |
+    |              | 1     | number of entries in the group                                 |
+    | entry        | 5     | customer in the 33 high bits, units in the 7 low bits          |
+
+An endpoint report states which servers discovery has reported as draining or removed. Its prefix reads as a
+usage message with a group of plan 255. No plan has that number, so versions that know no reports ignore it:
+
+    | part         | bytes | content                                                        |
+    | ------------ | ----- | -------------------------------------------------------------- |
+    | prefix       | 4     | `REPORT_PREFIX`                                                |
+    | poll flag    | 1     | 1 if the sender has just polled discovery, else 0              |
+    | endpoint id  | 1     | length of the id                                               |
+    |              | 1-250 | the id; lengths and ids repeat to the end of the datagram      |
 """
 
 from __future__ import annotations
@@ -14,11 +30,14 @@
 
 from limiter.model.events import EndpointId
 
-MAX_MESSAGE_BYTES = 256  # the operators' limit
+MAX_MESSAGE_BYTES = 256  # The operators' limit on a datagram between limiters.
 HEADER = struct.Struct(">BH")
 GROUP_HEADER = struct.Struct(">BB")
+MAX_IN_FLIGHT = 255  # The header states attempts in flight in one byte.
+MAX_LATENCY_MS = 65_535  # The header states their latency in two bytes.
+MAX_PLAN = 255  # A group header states the index of its plan in one byte.
 ENTRY_BYTES = 5
-UNIT_BITS = 7  # low bits of an entry, for the units; the customer has the others
+UNIT_BITS = 7  # The low bits of an entry state its units, the other bits its customer.
 MAX_ENTRY_UNITS = 2**UNIT_BITS - 1
 CUSTOMER_LIMIT = 2 ** (8 * ENTRY_BYTES - UNIT_BITS)
 REPORT_PREFIX = b"\x00\x00\x00\xff"
@@ -35,7 +54,13 @@
 
 
 class UsageMessage(NamedTuple):
-    """A limiter's load and the usage of customers through it."""
+    """A limiter's load and the usage of customers through it.
+
+    Attributes:
+        in_flight: Attempts in flight at the sender.
+        latency_ms: Their mean latency in milliseconds.
+        entries: Usage of customers, in the order of the message.
+    """
 
     in_flight: int
     latency_ms: int
@@ -43,19 +68,34 @@
 
 
 class UsageWriter:
-    """Collects the entries of one usage message until it is full."""
+    """Collects the entries of one usage message until it is full.
+
+    Attributes:
+        is_full: Whether an entry didn't fit any more.
+    """
 
     def __init__(self, in_flight: int, latency_ms: float) -> None:
-        """Begin a message with the sender's load."""
-        self._body = bytearray(HEADER.pack(min(in_flight, 255), min(65535, round(latency_ms))))
+        """Start a message without entries.
+
+        Args:
+            in_flight: Number of attempts in flight at the sender.
+            latency_ms: Mean latency of the sender's attempts in milliseconds.
+        """
+        stated_latency_ms = min(MAX_LATENCY_MS, round(latency_ms))
+        self._body = bytearray(HEADER.pack(min(in_flight, MAX_IN_FLIGHT), stated_latency_ms))
         self._groups: dict[int, list[bytes]] = {}
         self._size = HEADER.size
         self.is_full = False
 
     def add(self, plan: int, customer: int, units: int) -> int:
-        """Write an entry; the units of it that are written, 0 where it can't be said or does not fit."""
+        """Write an entry and return how many of its units it states.
+
+        Returns:
+            The units written, at most `MAX_ENTRY_UNITS`. It is 0 if nothing was written, because there are no
+            units, the plan or customer is too large for an entry, or the message is full.
+        """
         written: int = min(MAX_ENTRY_UNITS, units)
-        if written < 1 or plan > 255 or customer >= CUSTOMER_LIMIT:
+        if written < 1 or plan > MAX_PLAN or customer >= CUSTOMER_LIMIT:
             return 0
         self._size += ENTRY_BYTES + (0 if plan in self._groups else GROUP_HEADER.size)
         if self._size > MAX_MESSAGE_BYTES:
@@ -66,7 +106,7 @@
         return written
 
     def message(self) -> bytes:
-        """The message as it goes out."""
+        """Return the encoded message. Call it once, after the last entry."""
         for plan, entries in self._groups.items():
             self._body += GROUP_HEADER.pack(plan, len(entries))
             self._body += b"".join(entries)
@@ -74,7 +114,7 @@
 
 
 def decode_usage(body: bytes, plan_count: int) -> UsageMessage | None:
-    """The usage message of a peer; None if it is malformed."""
+    """Decode a usage message; return None if it is malformed or names a plan that doesn't exist."""
     entries: list[UsageEntry] = []
     offset = HEADER.size
     if len(body) < offset:
@@ -96,35 +136,57 @@
 
 
 class EndpointReport(NamedTuple):
-    """Servers that discovery has reported to the sender as draining or gone."""
+    """Servers that discovery has reported to the sender as draining or removed.
+
+    Attributes:
+        has_polled: Whether the sender has just polled discovery.
+        endpoint_ids: The servers' ids.
+    """
 
     has_polled: bool
     endpoint_ids: list[EndpointId]
 
 
-def encode_report(has_polled: bool, endpoint_ids: Iterable[EndpointId]) -> tuple[bytes, list[EndpointId]]:
-    """One message with as many of the ids as fit, and those that are done with: said, or too long for any."""
+class EncodedReport(NamedTuple):
+    """An endpoint report as it is sent.
+
+    Attributes:
+        body: The message.
+        done_ids: Ids that need no further message: those in this one, and those too long for any message.
+    """
+
+    body: bytes
+    done_ids: list[EndpointId]
+
+
+def encode_report(has_polled: bool, endpoint_ids: Iterable[EndpointId]) -> EncodedReport:
+    """Encode one endpoint report with as many of the ids as fit.
+
+    Args:
+        has_polled: Whether the sender has just polled discovery.
+        endpoint_ids: Ids of servers that are draining or removed, the first to be sent first.
+    """
     body = bytearray(REPORT_PREFIX)
     body.append(has_polled)
-    done = []
+    done_ids = []
     for endpoint_id in endpoint_ids:
         fits = len(body) + 1 + len(endpoint_id) <= MAX_MESSAGE_BYTES
         if not fits and len(body) > _IDS_OFFSET:
-            break  # left for the next message
+            break  # This id and those after it are left for the next message.
         if fits:
             body.append(len(endpoint_id))
             body += endpoint_id
-        done.append(endpoint_id)
-    return bytes(body), done
+        done_ids.append(endpoint_id)
+    return EncodedReport(bytes(body), done_ids)
 
 
 def is_report(body: bytes) -> bool:
-    """Whether a message is an endpoint report, malformed or not."""
+    """Return whether a message is an endpoint report, well-formed or not."""
     return body.startswith(REPORT_PREFIX)
 
 
 def decode_report(body: bytes) -> EndpointReport | None:
-    """The endpoint report of a peer; None if an id of it is empty or cut short."""
+    """Decode an endpoint report; return None if an id of it is empty or cut short."""
     endpoint_ids = []
     offset = _IDS_OFFSET
     while offset < len(body):
