--- a/limiter/model/actions.py
+++ b/limiter/model/actions.py
@@ -15,24 +15,34 @@
     """Forward a request to a server; AttemptEnded follows, at the latest when the time-out is over.
 
     The attempts of a request are numbered from 0 in the order of these actions.
+
+    Attributes:
+        request_id: Number of the request.
+        endpoint_id: The server to send it to.
+        timeout: Milliseconds after which the attempt times out; 0 where it lasts until the client gives up.
     """
 
     request_id: int
     endpoint_id: EndpointId
-    timeout: float  # 0: until the client gives up
+    timeout: float
 
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: rejected. It promises the client that a retry does no harm."""
+    """Finish a request as rejected, which promises the client that a retry does no harm.
+
+    Attributes:
+        request_id: Number of the request.
+        retry_after: Milliseconds that the client should wait before a retry; 0 for no advice.
+    """
 
     request_id: int
-    retry_after: float = 0.0  # for which the client should wait; 0: no advice
+    retry_after: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed, with no promise about whether it ran."""
+    """Finish a request as failed, with no promise about whether it ran."""
 
     request_id: int
 
