--- a/limiter/simulator/action_encoder.py
+++ b/limiter/simulator/action_encoder.py
@@ -34,9 +34,9 @@
 SEND_ATTEMPT: Final = 90  # FORWARD
 POLL_DISCOVERY: Final = 92  # SUBSCRIBE
 
-ALL_PEERS: Final = 0xFFFF  # as the receiver of a message
+ALL_PEERS: Final = 0xFFFF  # The receiver of a message that goes to all other instances.
 SUBSCRIPTION_ON: Final = 1
-MAX_LOG_MESSAGE_BYTES: Final = 0xFFFF  # the length field has two bytes
+MAX_LOG_MESSAGE_BYTES: Final = 0xFFFF  # The length field has two bytes.
 
 # The fields of each record from its code on; a layout that ends with a length is followed by so many bytes.
 _CANCEL_ATTEMPT = struct.Struct(">BHIB")  # limiter, requestId, seqNo
--- a/limiter/simulator/adapter.py
+++ b/limiter/simulator/adapter.py
@@ -1,4 +1,6 @@
-"""Adapter: hosts one policy engine for each simulated limiter behind the simulator's wire. Decides nothing.
+"""Adapter that connects the simulator's wire to one policy engine for each simulated limiter.
+
+It translates and decides nothing.
 
 Run as `python -m limiter.simulator.adapter`; reads batches on standard input and writes replies on
 standard output.
@@ -48,7 +50,7 @@
     """Holds the instances of this process; they share the decoder and nothing else."""
 
     def __init__(self) -> None:
-        """Start without instances."""
+        """Create a host that has no instances yet."""
         self._decoder = EventDecoder()
         self._limiters: dict[int, HostedLimiter] = {}
 
@@ -69,7 +71,7 @@
                 continue
             limiter = self._limiters.get(instance)
             if limiter is None:
-                continue  # the instance is closed: nobody is left to decide
+                continue  # The instance is closed, so its late events have no receiver.
             event = limiter.decode_load_report(record) if isinstance(record, UndecodedLoadReport) else record
             for action in limiter.engine.handle(batch.now, event):
                 actions += encode_action(instance, action)
--- a/limiter/simulator/errors.py
+++ b/limiter/simulator/errors.py
@@ -19,7 +19,13 @@
     """A code number has no meaning on this wire."""
 
     def __init__(self, code: int, kind: str, offset: int | None = None) -> None:
-        """Name the code's value, its kind and, where known, the byte of the batch at which it stands."""
+        """State the code.
+
+        Args:
+            code: Its value.
+            kind: What kind of code it should be, in words.
+            offset: Byte of the batch at which it stands, where known.
+        """
         place = "" if offset is None else f" at byte {offset}"
         super().__init__(f"unknown {kind} {code}{place}")
 
@@ -28,5 +34,5 @@
     """A registry record names an endpoint page that was never declared."""
 
     def __init__(self, page: int) -> None:
-        """Name the page's number."""
+        """State the number of the page."""
         super().__init__(f"registry names page {page}, which never came")
--- a/limiter/simulator/event_decoder.py
+++ b/limiter/simulator/event_decoder.py
@@ -50,15 +50,15 @@
 
 
 class RegistryForm(IntEnum):
-    """What a registry record says of the endpoint list."""
+    """What a registry record states about the endpoint list."""
 
-    DELTA = 0  # only the entries that changed
-    FULL = 1
-    CACHED = 2  # the full list as the instance last knew it, possibly outdated
-    FAILED = 3  # the poll failed; the record has no page
+    DELTA = 0  # The page has only the entries that changed.
+    FULL = 1  # The page is the full list.
+    CACHED = 2  # The page is the full list as the instance last knew it, and may be outdated.
+    FAILED = 3  # The poll failed, and the record has no page.
 
 
-CLIENT_RETRY_BIT = 2  # of a request's options
+CLIENT_RETRY_BIT = 2  # The bit of a request's options that marks a client's retry.
 
 OUTCOMES = {
     200: Outcome.OK,
@@ -88,12 +88,18 @@
 _COUNTER_REPLY = struct.Struct(">HQHfd")  # limiter, cname, how, resultValue, latency
 _ENDPOINT_PAGE = struct.Struct(">II")  # setId, count of entries
 ENDPOINT_ENTRY = struct.Struct(">HdH6sfHB")  # bay, startTime, kind, server, capacityHint, hall, status
-_FLOATS = [struct.Struct(f">{count}f") for count in range(256)]  # by count, which is one byte on the wire
+# Layouts of load reports by their number of values, which is one byte on the wire.
+_FLOATS = [struct.Struct(f">{count}f") for count in range(256)]
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceOpened:
-    """An instance starts, with no state."""
+    """An instance starts, with no state.
+
+    Attributes:
+        seed: Seed of its random draws.
+        settings_text: Its settings as `path=value` lines in UTF-8.
+    """
 
     seed: int
     settings_text: bytes
@@ -101,19 +107,26 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceClosed:
-    """An instance is over; all of its state is void."""
+    """An instance has ended, and its state with it."""
 
 
 @dataclass(frozen=True, slots=True)
 class UndecodedLoadReport:
-    """An event whose load report can only be read with the field order in the instance's settings."""
+    """An event whose load report can only be read with the field order in the instance's settings.
+
+    Attributes:
+        event: The event without its load report.
+        values: The values of the load report, in the order of the settings' `report.fields`.
+    """
 
     event: AttemptEnded | HealthCheckEnded
     values: tuple[float, ...]
 
 
 Record = InstanceOpened | InstanceClosed | UndecodedLoadReport | Event
-AddressedRecord = tuple[int, Record]  # the number of the instance, and what it gets
+# The number of an instance, and the record that is addressed to it.
+AddressedRecord = tuple[int, Record]
+# Lists of endpoints by the number of their page.
 Pages = dict[int, tuple[Endpoint, ...]]
 
 
@@ -121,7 +134,7 @@
     """Decodes batches in their order; keeps the pages that records of later batches refer to."""
 
     def __init__(self) -> None:
-        """Start without pages."""
+        """Create a decoder that knows no pages yet."""
         self._pages: Pages = {}
 
     def decode(self, body: bytes, record_count: int) -> list[AddressedRecord]:
@@ -154,7 +167,12 @@
 
 
 class _RecordReader:
-    """Position in the body of a batch, and the pages declared so far."""
+    """Reads the fields of records one after the other from the body of a batch.
+
+    Attributes:
+        offset: Byte of the body that is read next.
+        pages: The pages declared so far, which records refer to and add to.
+    """
 
     __slots__ = ("_body", "offset", "pages")
 
@@ -246,8 +264,8 @@
 
 
 def _decode_counter_reply(reader: _RecordReader) -> AddressedRecord:
-    instance, name, outcome_code, total, latency = reader.read(_COUNTER_REPLY)
-    return instance, CounterReply(name, _outcome(outcome_code), total, latency)
+    instance, key, outcome_code, total, latency = reader.read(_COUNTER_REPLY)
+    return instance, CounterReply(key, _outcome(outcome_code), total, latency)
 
 
 def _decode_client_disconnected(reader: _RecordReader) -> AddressedRecord:
@@ -314,7 +332,7 @@
         raise UnknownCodeError(code, "outcome code") from error
 
 
-# Every record of a run passes here: one look-up instead of a chain of comparisons.
+# Decoders by code. Each record of a run is decoded by one look-up here, not by a chain of comparisons.
 _DECODERS: dict[int, Callable[[_RecordReader], AddressedRecord | None]] = {
     EventCode.CLIENT_DISCONNECTED: _decode_client_disconnected,
     EventCode.ENDPOINTS_CHANGED: _decode_endpoints_changed,
--- a/limiter/simulator/frames.py
+++ b/limiter/simulator/frames.py
@@ -12,22 +12,31 @@
 
 from limiter.simulator.errors import FrameLengthError, TruncatedInputError
 
-BATCH_HEADER = struct.Struct(">IId")  # number of records, length of what follows this field, clock
-REPLY_HEADER = struct.Struct(">I")  # length of the actions
-CLOCK_BYTES = 8  # the length in a batch's header counts the clock too
+# The number of records, the length of all that follows the length field, and the clock.
+BATCH_HEADER = struct.Struct(">IId")
+# The length of the actions.
+REPLY_HEADER = struct.Struct(">I")
+# Size of the clock, which stands in a batch's header after the length and is counted by it.
+CLOCK_BYTES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Events that happen at the same time, still encoded."""
+    """Events that happen at the same time, still encoded.
 
-    now: float  # milliseconds
+    Attributes:
+        now: Time of the events in milliseconds.
+        record_count: Number of records in the body.
+        body: The records.
+    """
+
+    now: float
     record_count: int
     body: bytes
 
 
 def read_batch(source: BinaryIO) -> Batch | None:
-    """Read the next batch; None where the input ends between two batches.
+    """Read the next batch; return None where the input ends between two batches.
 
     Raises:
         TruncatedInputError: the input ends inside the batch.
