--- a/limiter/simulator/errors.py
+++ b/limiter/simulator/errors.py
@@ -1,38 +1,23 @@
-"""Errors of the simulator's wire. Each message says what was read and what is wrong with it."""
+"""The error of the simulator's wire."""
 
 from __future__ import annotations
 
-
-class WireError(Exception):
-    """Input that does not follow the wire's form."""
-
-
-class TruncatedInputError(WireError):
-    """The input, or a record in it, ends before all of its bytes have come."""
+from enum import Enum
 
 
-class FrameLengthError(WireError):
-    """The length of a frame does not fit what the frame holds."""
+class WireFault(Enum):
+    """What is wrong with input that does not follow the wire's form."""
 
+    TRUNCATED = "truncated"  # The input, or a record in it, ends before all of its bytes have come.
+    LENGTH = "length"  # The length of a frame does not fit what the frame holds.
+    UNKNOWN_CODE = "unknown code"  # A code number has no meaning on this wire.
+    UNKNOWN_PAGE = "unknown page"  # A registry record names an endpoint page that was never declared.
 
-class UnknownCodeError(WireError):
-    """A code number has no meaning on this wire."""
 
-    def __init__(self, code: int, kind: str, offset: int | None = None) -> None:
-        """State the code.
-
-        Args:
-            code: Its value.
-            kind: What kind of code it should be, in words.
-            offset: Byte of the batch at which it stands, where known.
-        """
-        place = "" if offset is None else f" at byte {offset}"
-        super().__init__(f"unknown {kind} {code}{place}")
-
-
-class UnknownPageError(WireError):
-    """A registry record names an endpoint page that was never declared."""
+class WireError(Exception):
+    """Input that does not follow the wire's form; the message says what was read and what is wrong."""
 
-    def __init__(self, page: int) -> None:
-        """State the number of the page."""
-        super().__init__(f"registry names page {page}, which never came")
+    def __init__(self, fault: WireFault, problem: str) -> None:
+        """Take the kind of fault, and the message."""
+        super().__init__(problem)
+        self.fault = fault
--- a/limiter/simulator/event_decoder.py
+++ b/limiter/simulator/event_decoder.py
@@ -29,7 +29,7 @@
     StreamStarted,
     TimerFired,
 )
-from limiter.simulator.errors import FrameLengthError, TruncatedInputError, UnknownCodeError, UnknownPageError
+from limiter.simulator.errors import WireError, WireFault
 
 
 class EventCode(IntEnum):
@@ -153,16 +153,16 @@
                 reader.offset = start + 1
                 decode_record = _DECODERS.get(code)
                 if decode_record is None:
-                    raise UnknownCodeError(code, "event code", start)
+                    raise _unknown_code(code, "event code", f" at byte {start}")
                 record = decode_record(reader)
                 if record is not None:
                     records.append(record)
         except (struct.error, IndexError) as error:
             message = f"record at byte {start} is cut short"
-            raise TruncatedInputError(message) from error
+            raise WireError(WireFault.TRUNCATED, message) from error
         if reader.offset != len(body):
             message = f"{len(body) - reader.offset} bytes follow the last record"
-            raise FrameLengthError(message)
+            raise WireError(WireFault.LENGTH, message)
         return records
 
 
@@ -182,6 +182,7 @@
         self.pages = pages
 
     def read(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """Return the fields of a layout, whose types `struct` doesn't tell: each decoder names its fields."""
         fields = layout.unpack_from(self._body, self.offset)
         self.offset += layout.size
         return fields
@@ -190,7 +191,7 @@
         end = self.offset + length
         if end > len(self._body):
             message = f"record reaches to byte {end} of {len(self._body)}"
-            raise TruncatedInputError(message)
+            raise WireError(WireFault.TRUNCATED, message)
         data = self._body[self.offset : end]
         self.offset = end
         return data
@@ -296,11 +297,12 @@
 def _decode_endpoints_changed(reader: _RecordReader) -> AddressedRecord:
     instance, form, _revision, page = reader.read(_ENDPOINTS_CHANGED)
     if form > RegistryForm.FAILED:
-        raise UnknownCodeError(form, "registry form")
+        raise _unknown_code(form, "registry form")
     if form == RegistryForm.FAILED:
         return instance, DiscoveryPollFailed()
     if page not in reader.pages:
-        raise UnknownPageError(page)
+        message = f"registry names page {page}, which never came"
+        raise WireError(WireFault.UNKNOWN_PAGE, message)
     event = EndpointsChanged(
         reader.pages[page],
         is_full_list=form != RegistryForm.DELTA,
@@ -321,7 +323,7 @@
     try:
         state = ENDPOINT_STATES[state_code]
     except KeyError as error:
-        raise UnknownCodeError(state_code, "server state") from error
+        raise _unknown_code(state_code, "server state") from error
     return Endpoint(endpoint_id, state, zone, cell, kind, weight, started_at)
 
 
@@ -329,7 +331,12 @@
     try:
         return OUTCOMES[code]
     except KeyError as error:
-        raise UnknownCodeError(code, "outcome code") from error
+        raise _unknown_code(code, "outcome code") from error
+
+
+def _unknown_code(code: int, kind: str, place: str = "") -> WireError:
+    """Return the error of a code number that has no meaning; `kind` says what it should be."""
+    return WireError(WireFault.UNKNOWN_CODE, f"unknown {kind} {code}{place}")
 
 
 # Decoders by code. Each record of a run is decoded by one look-up here, not by a chain of comparisons.
--- a/limiter/simulator/frames.py
+++ b/limiter/simulator/frames.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import BinaryIO
 
-from limiter.simulator.errors import FrameLengthError, TruncatedInputError
+from limiter.simulator.errors import WireError, WireFault
 
 # The number of records, the length of all that follows the length field, and the clock.
 BATCH_HEADER = struct.Struct(">IId")
@@ -39,8 +39,7 @@
     """Read the next batch; return None where the input ends between two batches.
 
     Raises:
-        TruncatedInputError: the input ends inside the batch.
-        FrameLengthError: the length in the header is too small.
+        WireError: the input ends inside the batch, or the length in the header is too small.
     """
     header = source.read(BATCH_HEADER.size)
     if not header:
@@ -50,7 +49,7 @@
     body_length = length - CLOCK_BYTES
     if body_length < 0:
         message = f"length {length} leaves no room for the clock"
-        raise FrameLengthError(message)
+        raise WireError(WireFault.LENGTH, message)
     body = source.read(body_length)
     _check_length(body, body_length, "a batch")
     return Batch(now, record_count, body)
@@ -64,4 +63,4 @@
 def _check_length(data: bytes, expected: int, part: str) -> None:
     if len(data) != expected:
         message = f"input ended inside {part}: {len(data)} of {expected} bytes"
-        raise TruncatedInputError(message)
+        raise WireError(WireFault.TRUNCATED, message)
