--- a/limiter/process/reload.py
+++ b/limiter/process/reload.py
@@ -5,7 +5,9 @@
 import logging
 import os
 
-from limiter.configuration.config import Address, ConfigError, reload
+from limiter.configuration.addresses import Address
+from limiter.configuration.config import ConfigError
+from limiter.configuration.config_loader import reload
 from limiter.transport.driver.proxy import Proxy
 
 log = logging.getLogger("limiter")
--- a/limiter/simulator/frames.py
+++ b/limiter/simulator/frames.py
@@ -10,28 +10,36 @@
 from dataclasses import dataclass
 from typing import BinaryIO
 
-from limiter.simulator.errors import FrameLengthError, TruncatedInputError
+from limiter.simulator.errors import WireError, WireFault
 
-BATCH_HEADER = struct.Struct(">IId")  # number of records, length of what follows this field, clock
-REPLY_HEADER = struct.Struct(">I")  # length of the actions
-CLOCK_BYTES = 8  # the length in a batch's header counts the clock too
+# The number of records, the length of all that follows the length field, and the clock.
+BATCH_HEADER = struct.Struct(">IId")
+# The length of the actions.
+REPLY_HEADER = struct.Struct(">I")
+# Size of the clock, which stands in a batch's header after the length and is counted by it.
+CLOCK_BYTES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Events that happen at the same time, still encoded."""
+    """Events that happen at the same time, still encoded.
 
-    now: float  # milliseconds
+    Attributes:
+        now: Time of the events in milliseconds.
+        record_count: Number of records in the body.
+        body: The records.
+    """
+
+    now: float
     record_count: int
     body: bytes
 
 
 def read_batch(source: BinaryIO) -> Batch | None:
-    """Read the next batch; None where the input ends between two batches.
+    """Read the next batch; return None where the input ends between two batches.
 
     Raises:
-        TruncatedInputError: the input ends inside the batch.
-        FrameLengthError: the length in the header is too small.
+        WireError: the input ends inside the batch, or the length in the header is too small.
     """
     header = source.read(BATCH_HEADER.size)
     if not header:
@@ -41,7 +49,7 @@
     body_length = length - CLOCK_BYTES
     if body_length < 0:
         message = f"length {length} leaves no room for the clock"
-        raise FrameLengthError(message)
+        raise WireError(WireFault.LENGTH, message)
     body = source.read(body_length)
     _check_length(body, body_length, "a batch")
     return Batch(now, record_count, body)
@@ -55,4 +63,4 @@
 def _check_length(data: bytes, expected: int, part: str) -> None:
     if len(data) != expected:
         message = f"input ended inside {part}: {len(data)} of {expected} bytes"
-        raise TruncatedInputError(message)
+        raise WireError(WireFault.TRUNCATED, message)
--- a/tests/transport/test_startup.py
+++ b/tests/transport/test_startup.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from limiter.configuration.config import Config, parse
+from limiter.configuration.config import Config
+from limiter.configuration.config_parser import parse
 from limiter.process import startup
 from tests.support.client import Connection, Response, http_request
 from tests.support.fake_discovery import FakeDiscovery
