--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -170,3 +170,21 @@
     """A fault that most share is not theirs."""
     eject(four_servers, {0, 1, 2})
     assert first_endpoints(four_servers, range(1000, 1020)) - {endpoint_id(3)}
+
+
+@pytest.mark.parametrize("seed", range(20))
+def test_an_ejection_doubles_with_each_failed_probe_up_to_its_cap(seed: int) -> None:
+    """Each lasts its nominal length, 1 s at first and 8 s at most, times a draw from 0.8 to 1.2."""
+    driver = make_driver(server_count=2, seed=seed, limiter_count=1, max_attempts=1, plans=NO_QUOTA)
+    eject(driver, {0})
+    for seconds in (1, 2, 4, 8, 8, 8):
+        ejected_at = driver.now
+        driver.now = ejected_at + 800.0 * seconds - 0.001
+        other = send_one(driver)
+        assert other.endpoint_id == endpoint_id(1), "the ejection is too short"
+        # With this attempt still in flight the other server costs more.
+        driver.now = ejected_at + 1200.0 * seconds
+        probe = send_one(driver)
+        assert probe.endpoint_id == endpoint_id(0), "the ejection is too long"
+        driver.end_attempt(other, Outcome.OK, SLOW_MS)
+        driver.end_attempt(probe, Outcome.ERROR, FAST_MS)
