--- a/limiter/policy/admission.py
+++ b/limiter/policy/admission.py
@@ -12,13 +12,13 @@
 from limiter.model.actions import RejectRequest
 from limiter.model.events import ClientRequest, CounterReply, Outcome
 from limiter.policy.admission_rules import AdmissionRules, Verdict
+from limiter.policy.attempt_dispatch import AttemptDispatcher
 from limiter.policy.context import PolicyContext
 from limiter.policy.customer import Customer
 from limiter.policy.customer_housekeeping import CustomerHousekeeping
 from limiter.policy.customer_registry import CustomerRegistry
 from limiter.policy.held_requests import HeldRequests
 from limiter.policy.open_request import OpenRequest
-from limiter.policy.retries import AttemptManager
 from limiter.policy.throttle import SAMPLE_INTERVAL_MS, UPDATE_INTERVAL_MS
 from limiter.policy.usage_gossip import UsageGossip
 from limiter.policy.usage_reporting import UsageReporter
@@ -53,7 +53,7 @@
     sampler: UsageSampler
     gossip: UsageGossip
     rules: AdmissionRules
-    attempts: AttemptManager
+    attempts: AttemptDispatcher
     held: HeldRequests
     reporter: UsageReporter
     housekeeping: CustomerHousekeeping
@@ -64,7 +64,7 @@
             return
         customer = self.customers.find(now, request)
         self.customers.advance(customer, now)
-        self.attempts.earn_retries()
+        self.attempts.retry_budget.earn()
         open_request = self._open(now, request, customer)
         if not self.customers.is_widely_shared(customer):
             self._decide(now, open_request, has_sample=True)
--- /dev/null
+++ b/limiter/policy/attempt_dispatch.py
@@ -0,0 +1,194 @@
+"""Dispatch of attempts: sends them to servers, handles their ends, and retries or ends their requests.
+
+Types: limiter/model. All times and durations are milliseconds.
+"""
+
+from dataclasses import dataclass, field
+from enum import Enum, auto
+
+from limiter.model.actions import FailRequest, RejectRequest, SendAttempt
+from limiter.model.events import NEVER_RAN, AttemptEnded, ClientDisconnected, Outcome, StreamStarted
+from limiter.model.settings import Idempotency
+from limiter.policy.concurrency_limit import ConcurrencyLimit
+from limiter.policy.context import PolicyContext
+from limiter.policy.customer_registry import CustomerRegistry
+from limiter.policy.open_request import OpenRequest
+from limiter.policy.server_selection import ServerSelector
+from limiter.policy.throttle import UPDATE_INTERVAL_MS
+from limiter.policy.usage_gossip import UsageGossip
+
+# Retries that each request adds to the budget. A small share keeps retries from multiplying the load of a
+# fleet that fails; it hurts where many servers fail at once.
+RETRIES_PER_REQUEST = 0.2
+
+# Retries that can be saved up.
+MAX_RETRY_BUDGET = 10.0
+
+# With less than this share of the latency objective left, a retry comes too late to be of use.
+LAST_RETRY_SHARE = 0.1
+
+# Utilization of the fleet from which on an attempt is not given up early: retries would add to the load.
+PRESSURED_UTILIZATION = 0.5
+
+# An attempt that may be repeated is given up after this share of the latency objective, but not before this
+# many times the mean latency of the fleet.
+ATTEMPT_TIMEOUT_SHARE = 0.5
+ATTEMPT_TIMEOUT_LATENCIES = 4
+
+
+class RepeatEffect(Enum):
+    """What could happen if a request were sent once more."""
+
+    HARMLESS = auto()  # It has not run yet, or running it twice does no harm.
+    DEDUPLICATED = auto()  # It may have run, but servers still recognise a repeat by its idempotency key.
+    HARMFUL = auto()  # It may run twice, and nobody would notice.
+
+
+@dataclass
+class RetryBudget:
+    """Retries that may be made: each request earns a part of one."""
+
+    retries: float = 1.0
+
+    @property
+    def has_retry(self) -> bool:
+        """Whether a retry may be made now."""
+        return self.retries >= 1
+
+    def earn(self) -> None:
+        """Add one request's part."""
+        self.retries = min(MAX_RETRY_BUDGET, self.retries + RETRIES_PER_REQUEST)
+
+    def spend(self) -> None:
+        """Take a retry that is made."""
+        self.retries -= 1
+
+
+@dataclass
+class AttemptDispatcher:
+    """Owns the open requests and the retry budget: sends attempts, and ends the requests.
+
+    Attributes:
+        context: What the parts of the policy engine share.
+        customers: The customers whose requests these are.
+        selector: Chooses the server of an attempt.
+        limit: Counts the attempts in flight from here.
+        gossip: Tells the other limiters of them.
+        requests: Open requests by id, those that are held for a counter reply included.
+        retry_budget: Retries that may be made.
+    """
+
+    context: PolicyContext
+    customers: CustomerRegistry
+    selector: ServerSelector
+    limit: ConcurrencyLimit
+    gossip: UsageGossip
+    requests: dict[int, OpenRequest] = field(default_factory=dict)
+    retry_budget: RetryBudget = field(default_factory=RetryBudget)
+
+    def send(self, now: float, request: OpenRequest) -> bool:
+        """Send the next attempt of a request; return False if it is too late or no server may take it."""
+        time_left = request.useful_until - now
+        if time_left <= 0 or not self._has_attempt_left(request):
+            return False
+        server = self.selector.choose(now, request)
+        if server is None:
+            return False
+        self.selector.slow_start.record_attempt(server)
+        server.start_attempt(request.request.id, request.attempts.count, now)
+        request.start_attempt(now, server.endpoint)
+        self.limit.record_attempt_started()
+        self.gossip.schedule()
+        timeout = self._attempt_timeout(request, time_left)
+        self.context.actions.append(SendAttempt(request.request.id, server.endpoint.id, timeout))
+        return True
+
+    def _has_attempt_left(self, request: OpenRequest) -> bool:
+        return request.attempts.count < self.context.settings.max_attempts
+
+    def _attempt_timeout(self, request: OpenRequest, time_left: float) -> float:
+        """Return the time after which the attempt just begun is given up.
+
+        Args:
+            request: The request.
+            time_left: Time in which a response to the request is of use.
+
+        Returns:
+            The time left, or less where that makes room for a retry.
+        """
+        request_class = request.request_class
+        is_idempotent = request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
+        may_repeat = is_idempotent and not request_class.streaming and self._has_attempt_left(request)
+        is_pressured = self.limit.utilization >= PRESSURED_UTILIZATION
+        if not may_repeat or is_pressured or not self.retry_budget.has_retry:
+            return time_left
+        objective_share = request_class.latency_objective * ATTEMPT_TIMEOUT_SHARE
+        usual_latency = ATTEMPT_TIMEOUT_LATENCIES * self.selector.outliers.mean_latency
+        return min(time_left, max(objective_share, usual_latency))
+
+    def handle_attempt_ended(self, now: float, ended: AttemptEnded) -> None:
+        """Take in how an attempt ended; retry its request or end that."""
+        server = self.selector.table.by_id.get(ended.endpoint_id)
+        is_ok = ended.outcome is Outcome.OK
+        if server is None or not server.end_attempt(ended.request_id, ended.attempt, is_ok):
+            return  # The attempt was not sent by this process.
+        is_success = self.selector.outliers.record_outcome(now, server.health, ended)
+        self.limit.record_attempt_ended(is_success)
+        request = self.requests.get(ended.request_id)
+        if request is None:
+            return
+        request.end_attempt()
+        self.customers.advance(request.customer, now)
+        billable_units = request.request.units if request.admission.within_quota else None
+        self.customers.settle(now, request.customer, ended, billable_units)
+        if ended.request_finished:
+            del self.requests[ended.request_id]
+            return
+        attempts = request.attempts
+        if ended.outcome in NEVER_RAN:
+            attempts.mark_never_ran(ended.attempt)
+        if not attempts.in_flight and not attempts.is_streaming:
+            self._retry_or_end(now, request)
+
+    def _retry_or_end(self, now: float, request: OpenRequest) -> None:
+        """Retry a request without an attempt in flight, or give it its final response."""
+        effect = self._repeat_effect(now, request)
+        if effect is not RepeatEffect.HARMFUL and self._retry(now, request):
+            return
+        request_id = request.request.id
+        del self.requests[request_id]
+        if effect is RepeatEffect.HARMLESS:
+            self.context.actions.append(RejectRequest(request_id, UPDATE_INTERVAL_MS))
+        else:
+            self.context.actions.append(FailRequest(request_id))
+
+    @staticmethod
+    def _repeat_effect(now: float, request: OpenRequest) -> RepeatEffect:
+        first = request.attempts.first
+        request_class = request.request_class
+        if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+            return RepeatEffect.HARMLESS
+        has_key = request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+        if has_key and now < first.sent_at + request_class.dedup_window:
+            return RepeatEffect.DEDUPLICATED
+        return RepeatEffect.HARMFUL
+
+    def _retry(self, now: float, request: OpenRequest) -> bool:
+        """Send a request once more, if there is budget and time for it; return whether it was sent."""
+        latest = request.useful_until - LAST_RETRY_SHARE * request.request_class.latency_objective
+        if not self.retry_budget.has_retry or now >= latest or not self.send(now, request):
+            return False
+        self.retry_budget.spend()
+        return True
+
+    def handle_disconnect(self, _now: float, disconnected: ClientDisconnected) -> None:
+        """Forget a request whose client has left; its attempts in flight end by themselves."""
+        request = self.requests.pop(disconnected.request_id, None)
+        if request is not None:
+            request.customer.end_attempts(request.attempts.in_flight)
+
+    def handle_stream_start(self, _now: float, started: StreamStarted) -> None:
+        """Note that the client has part of the response: the request may not be sent again."""
+        request = self.requests.get(started.request_id)
+        if request is not None:
+            request.attempts.mark_streaming()
--- a/limiter/policy/concurrency_limit.py
+++ b/limiter/policy/concurrency_limit.py
@@ -57,6 +57,15 @@
         """Begin to measure."""
         self.updated_at = self.measured_at = now
 
+    def record_attempt_started(self) -> None:
+        """Count an attempt that is sent from here."""
+        self.in_flight += 1
+
+    def record_attempt_ended(self, is_success: bool) -> None:
+        """Count the end of an attempt that was sent from here."""
+        self.in_flight -= 1
+        self.completed += is_success
+
     def advance(self, now: float) -> None:
         """Measure up to now, and update the limit once in an update interval."""
         self.busy_time += self.working * (now - self.measured_at)
--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -13,6 +13,7 @@
 from limiter.model.settings import Settings, validate_settings
 from limiter.policy.admission import AdmissionController
 from limiter.policy.admission_rules import AdmissionRules
+from limiter.policy.attempt_dispatch import AttemptDispatcher
 from limiter.policy.concurrency_limit import ConcurrencyLimit, unseen_load_share
 from limiter.policy.context import PolicyContext, Timer
 from limiter.policy.customer_housekeeping import CustomerHousekeeping
@@ -20,7 +21,6 @@
 from limiter.policy.discovery_backoff import DiscoveryBackoff
 from limiter.policy.held_requests import HeldRequests
 from limiter.policy.outlier_detection import OutlierDetector
-from limiter.policy.retries import AttemptManager
 from limiter.policy.server_selection import ServerSelector
 from limiter.policy.slow_start import SlowStart
 from limiter.policy.usage_gossip import UsageGossip
@@ -49,7 +49,7 @@
         self.selector = ServerSelector(context, self.outliers, self.slow_start)
         self.limit = ConcurrencyLimit(context, self.selector, self.gossip)
         self.customers = CustomerRegistry(context)
-        self.attempts = AttemptManager(context, self.customers, self.selector, self.limit, self.gossip)
+        self.attempts = AttemptDispatcher(context, self.customers, self.selector, self.limit, self.gossip)
         self.sampler = UsageSampler(context, self.customers, self.gossip)
         self.admission = self._make_admission(context)
         self.discovery = DiscoveryBackoff(context, self.selector.table, self.gossip.is_enabled)
@@ -92,7 +92,7 @@
             case events.ClientRequest():
                 self.admission.handle_request(now, event)
             case events.AttemptEnded():
-                self.attempts.handle_end(now, event)
+                self.attempts.handle_attempt_ended(now, event)
             case events.TimerFired():
                 self._handle_timer(now, event)
             case events.CounterReply():
--- a/limiter/policy/held_requests.py
+++ b/limiter/policy/held_requests.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
+from limiter.policy.attempt_dispatch import AttemptDispatcher
 from limiter.policy.context import PolicyContext
 from limiter.policy.customer import Customer
 from limiter.policy.customer_housekeeping import CustomerHousekeeping
 from limiter.policy.open_request import OpenRequest
-from limiter.policy.retries import AttemptManager
 from limiter.policy.usage_sampling import UsageSampler
 
 # Time by which a round of housekeeping may come late after the counter's time-out.
@@ -23,7 +23,7 @@
         self,
         context: PolicyContext,
         sampler: UsageSampler,
-        attempts: AttemptManager,
+        attempts: AttemptDispatcher,
         housekeeping: CustomerHousekeeping,
     ) -> None:
         """Start without held requests.
--- a/limiter/policy/open_request.py
+++ b/limiter/policy/open_request.py
@@ -10,35 +10,87 @@
 from limiter.policy.customer import Customer
 
 
+@dataclass(slots=True)
+class FirstAttempt:
+    """The earliest attempt of a request that may have run.
+
+    Attributes:
+        number: Its number among the attempts of the request.
+        endpoint: The server that it was sent to.
+        sent_at: When it was sent.
+    """
+
+    number: int
+    endpoint: Endpoint
+    sent_at: float
+
+
+@dataclass(slots=True)
+class RequestAttempts:
+    """The attempts of one request.
+
+    Attributes:
+        count: Attempts that were sent so far.
+        in_flight: Those of them that have not ended.
+        first: The earliest attempt that may have run; None while no attempt can have run.
+        tried: Ids of the servers that attempts were sent to.
+        is_streaming: Whether the client has got part of a response.
+    """
+
+    count: int = 0
+    in_flight: int = 0
+    first: FirstAttempt | None = None
+    tried: set[EndpointId] = field(default_factory=set)
+    is_streaming: bool = False
+
+    def start(self, now: float, endpoint: Endpoint) -> None:
+        """Count an attempt that is sent to the server at this endpoint now."""
+        if self.first is None:
+            self.first = FirstAttempt(self.count, endpoint, now)
+        self.tried.add(endpoint.id)
+        self.count += 1
+        self.in_flight += 1
+
+    def end(self) -> None:
+        """Count the end of an attempt."""
+        self.in_flight -= 1
+
+    def mark_never_ran(self, number: int) -> None:
+        """Note that the attempt with this number did not run."""
+        if self.first is not None and self.first.number == number:
+            self.first = None
+
+    def mark_streaming(self) -> None:
+        """Note that the client has got part of a response."""
+        self.is_streaming = True
+
+
 @dataclass(slots=True)
 class OpenRequest:
-    """A client's request until its final answer is out and no attempt is in flight."""
+    """A client's request until its final response is out and no attempt is in flight.
+
+    Attributes:
+        request: The request as it arrived.
+        request_class: Its class in the settings.
+        customer: The customer who sent it.
+        useful_until: A response that is later than this is of no use.
+        admission: What admission noted.
+        attempts: The attempts that were sent.
+    """
 
     request: ClientRequest
     request_class: RequestClass
     customer: Customer
-    useful_until: float  # an answer later than this is of no use
-    attempts: int = 0
-    in_flight: int = 0
-    first_attempt: int = 0  # number of the earliest attempt that may have run,
-    first_sent_at: float = 0.0  # when it was sent
-    first_endpoint: Endpoint | None = None  # and where to
-    is_streaming: bool = False
+    useful_until: float
     admission: AdmissionNotes = field(default_factory=AdmissionNotes)
-    tried: set[EndpointId] = field(default_factory=set)
+    attempts: RequestAttempts = field(default_factory=RequestAttempts)
 
     def start_attempt(self, now: float, endpoint: Endpoint) -> None:
         """Count an attempt that is sent to the server at this endpoint now."""
-        if self.first_endpoint is None:
-            self.first_endpoint = endpoint
-            self.first_sent_at = now
-            self.first_attempt = self.attempts
-        self.tried.add(endpoint.id)
-        self.attempts += 1
-        self.in_flight += 1
+        self.attempts.start(now, endpoint)
         self.customer.start_attempt()
 
     def end_attempt(self) -> None:
         """Count the end of an attempt."""
-        self.in_flight -= 1
+        self.attempts.end()
         self.customer.end_attempts(1)
--- a/limiter/policy/server_selection.py
+++ b/limiter/policy/server_selection.py
@@ -59,7 +59,7 @@
     def choose(self, now: float, request: OpenRequest) -> Server | None:
         """Return the server for the next attempt of a request; None where none may take it."""
         candidates = [server for server in self._candidates(request) if not server.health.is_paused(now)]
-        untried = [server for server in candidates if server.endpoint.id not in request.tried]
+        untried = [server for server in candidates if server.endpoint.id not in request.attempts.tried]
         candidates = self._without_ejected(now, untried or candidates)
         candidates = self.slow_start.with_credit(now, candidates)
         count = max(1, int(self.context.settings.slow_start_overload))
@@ -74,13 +74,13 @@
         candidates = self.table.ready
         if len(candidates) > MAX_CANDIDATES:
             candidates = self.context.random.sample(candidates, MAX_CANDIDATES)
-        first = request.first_endpoint
+        first = request.attempts.first
         request_class = request.request_class
         if first is not None and request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
             if request_class.dedup_scope is DedupScope.ZONE:
-                return [server for server in self.table.ready if server.endpoint.zone == first.zone]
+                return [server for server in self.table.ready if server.endpoint.zone == first.endpoint.zone]
             if request_class.dedup_scope is DedupScope.CELL:
-                return [server for server in self.table.ready if server.endpoint.cell == first.cell]
+                return [server for server in self.table.ready if server.endpoint.cell == first.endpoint.cell]
         return candidates
 
     @staticmethod
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -5,7 +5,7 @@
 import pytest
 
 from limiter.model.events import Outcome
-from tests.support.policy_driver import make_driver
+from tests.support.policy_driver import endpoint_id, make_driver
 from tests.support.policy_scenarios import NO_QUOTA
 
 
@@ -13,8 +13,11 @@
 def test_a_retry_goes_to_another_server_although_it_costs_more(seed: int) -> None:
     """The failed one may be cheap just because it fails at once."""
     driver = make_driver(server_count=2, seed=seed, plans=NO_QUOTA)
-    driver.engine.outliers.mean_latency = 10.0
-    driver.server(1).health.latency = 9000.0
+    latencies = {endpoint_id(0): 10.0, endpoint_id(1): 9000.0}
+    for request_id in range(10, 20):
+        driver.request(request_id, customer=request_id)
+        for sent in driver.in_flight():
+            driver.end_attempt(sent, Outcome.OK, latencies[sent.endpoint_id])
     driver.request(1)
     [failed] = driver.in_flight()
     driver.end_attempt(failed, Outcome.ERROR, 1.0)
@@ -25,12 +28,12 @@
 def test_an_attempt_times_out_at_half_the_objective_while_there_is_retry_budget() -> None:
     """Late enough for most answers, and early enough for a retry within the objective."""
     driver = make_driver(plans=NO_QUOTA)
-    driver.engine.outliers.mean_latency = 50.0
     driver.request(1)
-    assert driver.in_flight()[0].timeout == 500.0
-    driver.engine.attempts.retry_budget = 0.0
+    [first] = driver.in_flight()
+    assert first.timeout == 500.0
+    driver.end_attempt(first, Outcome.CONNECT_FAILED, 1.0)  # Its retry spends the budget.
     driver.request(2, customer=2)
-    assert driver.in_flight()[1].timeout == 1000.0
+    assert driver.sent[2][0].timeout == 1000.0
 
 
 def test_the_retry_budget_bounds_retries_to_a_quarter_of_the_requests() -> None:
