--- a/limiter/policy/concurrency_limit.py
+++ b/limiter/policy/concurrency_limit.py
@@ -5,57 +5,108 @@
 Types: limiter/model. Times are milliseconds.
 """
 
-import math
 from dataclasses import dataclass
 
 from limiter.model.settings import Settings
 from limiter.policy.context import PolicyContext
 from limiter.policy.server_selection import ServerSelector
+from limiter.policy.smoothing import clamp, ewma_step, ewma_step_or_first, weight_of_newest
 from limiter.policy.throttle import EWMA_WEIGHT, TARGET_UTILIZATION, UPDATE_INTERVAL_MS, clamped
 from limiter.policy.usage_gossip import UsageGossip
 
-FULL_LOAD_WAIT_SHARE = 0.2  # of the tightest objective beyond idle latency: waiting that counts as full load
-UNSEEN_LOAD_WAIT_SHARE = 0.5  # the same where a limiter sees little of a server's load: attempts meet there
-MIN_LIMIT = 2.0  # one attempt in flight is the ordinary thing at any limiter and no sign of load
-INITIAL_PER_SERVER = 5.0  # attempts in flight at a warm server, of all limiters
-MIN_PER_SERVER, MAX_PER_SERVER = 3.0, 48.0
-MAX_DECREASE, MAX_INCREASE = 0.7, 1.25  # factors of the limit in one update
-COMPLETED_SCALE = 4.0  # attempts in one update that weigh two thirds: fewer say less of the load
-IDLE_LATENCY_GROWTH = 1.005  # of the least latency in an update: it is forgotten slowly
+# Waiting that counts as full load, as a share of the tightest objective beyond the idle latency; and the
+# same where a limiter sees little of a server's load, since attempts of several limiters meet there by
+# chance.
+FULL_LOAD_WAIT_SHARE = 0.2
+UNSEEN_LOAD_WAIT_SHARE = 0.5
+
+# Lowest limit while the fleet is not overloaded: one attempt in flight is ordinary and no sign of load.
+MIN_LIMIT = 2.0
+
+# Lowest limit however much the fleet is overloaded: without any attempt a limiter would not see it recover.
+MIN_OVERLOAD_LIMIT = 1.0
+
+# Attempts in flight from all limiters together to a server with full capacity: at first, least and most.
+INITIAL_PER_SERVER = 5.0
+MIN_PER_SERVER = 3.0
+MAX_PER_SERVER = 48.0
+
+# Bounds of the factor by which one update changes the attempts per server.
+MAX_DECREASE = 0.7
+MAX_INCREASE = 1.25
+
+# Completed attempts in one update interval that give its latency a weight of 1 - 1/e (about two thirds).
+# Fewer say less of the load.
+COMPLETED_SCALE = 4.0
+
+# Growth of the idle latency in an update: the least mean latency is forgotten slowly.
+IDLE_LATENCY_GROWTH = 1.005
+
+# Servers that do not answer, as a share of all, up to which the fault is taken to be theirs. With more of
+# them the fleet is loaded.
+UNRESPONSIVE_SERVERS_SHARE = 1 / 4
+
+# Least utilization, or limit, that is divided by.
+MIN_UTILIZATION = 1e-6
+MIN_DIVISOR = 1e-9
 
 
 def unseen_load_share(settings: Settings) -> float:
-    """How little of a server's load one limiter sees: 0 where it sees enough, 1 in an endless fleet."""
+    """Return how little of a server's load one limiter sees: 0 if enough, towards 1 in an endless fleet."""
     return max(0.0, 1 - INITIAL_PER_SERVER / settings.limiter_count)
 
 
 @dataclass
 class ConcurrencyLimit:
-    """Counts the attempts in flight from here and limits them while the fleet is under pressure."""
+    """Counts the attempts in flight from here and limits them while the fleet is under pressure.
+
+    Attributes:
+        context: What the parts of the policy engine share.
+        selector: Knows the servers and the attempts in flight to each.
+        gossip: Knows the load of the other limiters.
+        in_flight: Attempts in flight from here.
+        stalled: Of these, the attempts that were lost or wait for unresponsive servers, by the last update.
+        max_in_flight: Attempts in flight from here that the fleet answers in good time; 0 until there is an
+            endpoint list.
+        per_server: Attempts in flight from all limiters that a server with full capacity takes.
+        utilization: Moving average of the mean latency beyond idle, as a share of what full load adds.
+        busy_time: Attempts in flight times their duration, summed up since the last update.
+        measured_at: Time up to which `busy_time` is summed up.
+        updated_at: Time of the last update.
+        completed: Successful attempts since the last update.
+        latency: Moving average of the mean latency; 0 until one was measured.
+        idle_latency: The least mean latency, forgotten slowly; 0 until an attempt has succeeded.
+    """
 
     context: PolicyContext
     selector: ServerSelector
     gossip: UsageGossip
     in_flight: int = 0
-    stalled: int = 0  # of these, attempts that were lost or wait for silent servers
-    limit: float = 0.0  # attempts in flight from here that the fleet takes in good time; 0: not known yet
-    per_server: float = INITIAL_PER_SERVER  # attempts that a warm server takes, of all limiters
+    stalled: int = 0
+    max_in_flight: float = 0.0
+    per_server: float = INITIAL_PER_SERVER
     utilization: float = 0.0
-    busy_time: float = 0.0  # attempts in flight, summed over time since the last update
+    busy_time: float = 0.0
     measured_at: float = 0.0
     updated_at: float = 0.0
-    completed: int = 0  # successful attempts since the last update
-    latency: float = 0.0  # EWMA of the mean latency
-    idle_latency: float = 0.0  # the least mean latency, forgotten slowly
+    completed: int = 0
+    latency: float = 0.0
+    idle_latency: float = 0.0
 
     @property
     def working(self) -> int:
         """Attempts in flight that servers work on."""
         return max(0, self.in_flight - self.stalled)
 
+    @property
+    def is_known(self) -> bool:
+        """Whether the limit was worked out at least once."""
+        return self.max_in_flight > 0
+
     def start(self, now: float) -> None:
-        """Begin to measure."""
-        self.updated_at = self.measured_at = now
+        """Measure from now on: this is the time of the first event."""
+        self.updated_at = now
+        self.measured_at = now
 
     def record_attempt_started(self) -> None:
         """Count an attempt that is sent from here."""
@@ -64,7 +115,8 @@
     def record_attempt_ended(self, is_success: bool) -> None:
         """Count the end of an attempt that was sent from here."""
         self.in_flight -= 1
-        self.completed += is_success
+        if is_success:
+            self.completed += 1
 
     def advance(self, now: float) -> None:
         """Measure up to now, and update the limit once in an update interval."""
@@ -74,57 +126,82 @@
             self.update(now)
 
     def mean_in_flight(self) -> float:
-        """Attempts in flight from here, or from the mean limiter where the others gossip theirs."""
+        """Return the attempts in flight from here, or from the mean limiter where others gossip theirs."""
         if self.gossip.is_enabled and self.selector.slow_start.unseen_load_share:
             return self.gossip.peer_load.mean_in_flight(self.working)
         return self.working
 
     def admission_probability(self) -> float:
-        """Probability with which a request is admitted: 1 up to half the limit, then falling."""
-        return clamped(2 - 2 * self.mean_in_flight() / max(self.limit, 1e-9))
+        """Return the probability with which a request is admitted: 1 up to half the limit, then falling."""
+        return clamped(2 - 2 * self.mean_in_flight() / max(self.max_in_flight, MIN_DIVISOR))
 
     def update(self, now: float) -> None:
-        """Multiply the limit by target / utilization, clamped."""
+        """Work out the limit anew, and begin the next interval."""
         self.stalled = self._count_stalled(now)
         self._measure_utilization(now)
-        step = min(MAX_INCREASE, max(MAX_DECREASE, TARGET_UTILIZATION / max(self.utilization, 1e-6)))
-        if step < 1 or 2 * self.mean_in_flight() > self.limit:
-            self.per_server = min(MAX_PER_SERVER, max(MIN_PER_SERVER, self.per_server * step))
+        self._update_per_server()
         capacity = self.selector.slow_start.measure_fleet(now, self.selector.table.ready)
-        least = min(MIN_LIMIT, max(1.0, MIN_LIMIT / max(self.utilization, 1e-6)))
-        self.limit = max(least, self.per_server * capacity / self.context.settings.limiter_count)
+        lowest = clamp(MIN_LIMIT / max(self.utilization, MIN_UTILIZATION), MIN_OVERLOAD_LIMIT, MIN_LIMIT)
+        even_part = self.per_server * capacity / self.context.settings.limiter_count
+        self.max_in_flight = max(lowest, even_part)
         self.updated_at = now
         self.completed = 0
         self.busy_time = 0.0
 
+    def _update_per_server(self) -> None:
+        """Multiply the attempts per server by target / utilization, within bounds.
+
+        They rise only while the limit is made use of.
+        """
+        to_target = TARGET_UTILIZATION / max(self.utilization, MIN_UTILIZATION)
+        factor = clamp(to_target, MAX_DECREASE, MAX_INCREASE)
+        is_limit_used = 2 * self.mean_in_flight() > self.max_in_flight
+        if factor < 1 or is_limit_used:
+            self.per_server = clamp(self.per_server * factor, MIN_PER_SERVER, MAX_PER_SERVER)
+
     def _count_stalled(self, now: float) -> int:
-        """Attempts that say nothing of the fleet: overtaken, or at silent servers unless these are many."""
-        before = now - self.context.tightest_objective
-        servers = self.selector.table.by_id.values() if self.in_flight else ()
+        """Return how many of the attempts in flight say nothing of the fleet's load.
+
+        These are the attempts that were overtaken, and those at unresponsive servers unless such servers are
+        many.
+        """
+        if not self.in_flight:
+            return 0
+        servers = self.selector.table.by_id.values()
         busy = [server.attempts_in_flight for server in servers if server.attempts_in_flight is not None]
-        stalled = sum(attempts.count_overtaken(before) for attempts in busy)
-        silent = [attempts for attempts in busy if attempts.waiting_since() < before]
-        if 4 * len(silent) <= len(self.selector.table.by_id):
-            stalled += sum(len(attempts.sent_at) - attempts.count_overtaken(before) for attempts in silent)
+        sent_before = now - self.context.tightest_objective
+        stalled = sum(attempts.count_overtaken(sent_before) for attempts in busy)
+        unresponsive = [attempts for attempts in busy if attempts.waiting_since() < sent_before]
+        if len(unresponsive) <= UNRESPONSIVE_SERVERS_SHARE * len(servers):
+            for attempts in unresponsive:
+                stalled += len(attempts.sent_at) - attempts.count_overtaken(sent_before)
         return stalled
 
     def _measure_utilization(self, now: float) -> None:
+        """Take the mean latency since the last update into the utilization.
+
+        By Little's law the mean latency is the busy time over the number of attempts completed.
+        """
         completed = max(self.completed, 1)
         newest = self.busy_time / completed
-        weight = 1 - math.exp(-completed / COMPLETED_SCALE)
-        self.latency += weight * (newest - self.latency) if self.latency else newest
-        mean, gossip = self.latency, self.gossip
+        weight = weight_of_newest(completed, COMPLETED_SCALE)
+        self.latency = ewma_step_or_first(self.latency, newest, weight)
+        mean = self.latency
         unseen_share = self.selector.slow_start.unseen_load_share
-        if gossip.is_enabled and unseen_share:
-            peer_load = gossip.peer_load
+        if self.gossip.is_enabled and unseen_share:
+            peer_load = self.gossip.peer_load
             peer_load.decay(now)
-            weight = 1 - math.exp(-completed * (1 + peer_load.weight) / COMPLETED_SCALE)
+            weight = weight_of_newest(completed * (1 + peer_load.weight), COMPLETED_SCALE)
             newest = peer_load.mean_latency(newest)
             mean = peer_load.mean_latency(mean)
         if self.completed:
             self.idle_latency = min(mean, self.idle_latency * IDLE_LATENCY_GROWTH or mean)
-        gossip.set_mean_latency(mean)
+        self.gossip.set_mean_latency(mean)
+        full_load = self._full_load_latency(unseen_share)
+        self.utilization = ewma_step(self.utilization, newest / full_load, min(EWMA_WEIGHT, weight))
+
+    def _full_load_latency(self, unseen_share: float) -> float:
+        """Return the mean latency at which the fleet counts as fully loaded."""
         objective = self.context.tightest_objective
         wait_share = FULL_LOAD_WAIT_SHARE + unseen_share * (UNSEEN_LOAD_WAIT_SHARE - FULL_LOAD_WAIT_SHARE)
-        full_load = self.idle_latency + wait_share * max(0.0, objective - self.idle_latency)
-        self.utilization += min(EWMA_WEIGHT, weight) * (newest / full_load - self.utilization)
+        return self.idle_latency + wait_share * max(0.0, objective - self.idle_latency)
--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -133,5 +133,5 @@
         self.discovery.handle_list(change)
         if change.endpoints or change.is_full_list:  # else nothing changed
             self.selector.update_endpoints(change)
-            if not self.limit.limit:
+            if not self.limit.is_known:
                 self.limit.update(now)
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -13,6 +13,13 @@
 UPDATE_AFTER_MS = 400.0
 
 
+def pass_time(driver: PolicyDriver, until: float) -> None:
+    """Let the engine measure up to this time: the endpoint list says that nothing changed."""
+    while driver.now < until:
+        driver.now = min(until, driver.now + UPDATE_AFTER_MS / 4)
+        driver.feed(EndpointsChanged((), is_full_list=False))
+
+
 def test_one_attempt_is_admitted_until_the_fleet_is_overloaded() -> None:
     """Each of many limiters may have one in flight, whatever its share of the capacity."""
     driver = make_driver(server_count=4, limiter_count=100, plans=NO_QUOTA)
@@ -20,29 +27,31 @@
     driver.request(1)
     driver.request(2, customer=2)
     assert len(driver.in_flight()) == 2
-    assert concurrency.limit == MIN_LIMIT
-    concurrency.utilization = 50.0
-    driver.now += UPDATE_AFTER_MS
-    concurrency.update(driver.now)
-    assert concurrency.limit < MIN_LIMIT
+    assert concurrency.max_in_flight == MIN_LIMIT
+    pass_time(driver, 2900.0)  # Neither attempt ends.
+    assert concurrency.max_in_flight < MIN_LIMIT
 
 
-def utilization_after(completed: int) -> float:
-    """Utilization after an interval in which this many attempts ended, each of them slow."""
-    driver = make_driver(plans=NO_QUOTA)
-    concurrency = driver.engine.limit
-    concurrency.latency = 100.0
-    concurrency.idle_latency = 100.0
-    concurrency.completed = completed
-    concurrency.busy_time = completed * 1000.0
-    driver.now += UPDATE_AFTER_MS
-    concurrency.update(driver.now)
-    return concurrency.utilization
+def utilization_rise_after(completed: int) -> float:
+    """Rise of the utilization in an interval in which this many attempts ended, each of them slow."""
+    driver = make_driver(server_count=20, limiter_count=1, plans=NO_QUOTA)
+    driver.request(1)
+    driver.now += 100.0
+    driver.complete_in_flight()
+    pass_time(driver, UPDATE_AFTER_MS)
+    before = driver.engine.limit.utilization
+    for request_id in range(10, 10 + completed):
+        driver.request(request_id, customer=request_id)
+    assert len(driver.in_flight()) == completed
+    driver.now += 350.0
+    driver.complete_in_flight()
+    pass_time(driver, 2 * UPDATE_AFTER_MS)
+    return driver.engine.limit.utilization - before
 
 
 def test_utilization_moves_less_on_one_attempt_than_on_many() -> None:
     """A single slow answer is weak evidence of load."""
-    assert utilization_after(completed=1) < 0.5 * utilization_after(completed=20)
+    assert 0.0 < utilization_rise_after(completed=1) < 0.5 * utilization_rise_after(completed=20)
 
 
 def test_the_concurrency_limit_is_shared_by_the_limiters() -> None:
@@ -59,29 +68,29 @@
 def test_a_warming_server_adds_little_to_the_concurrency_limit(driver: PolicyDriver) -> None:
     """Recorded incident icc5a2a: new servers counted in full and the warm ones got the surplus."""
     concurrency = driver.engine.limit
-    before = concurrency.limit
+    before = concurrency.max_in_flight
     driver.advance_to(1000.0)
     started = tuple(endpoint(index, started=1000.0) for index in range(10, 14))
     driver.feed(EndpointsChanged(started, is_full_list=False))
     driver.advance_to(1500.0)
     driver.request(1)
-    assert before < concurrency.limit < 1.5 * before
+    assert before < concurrency.max_in_flight < 1.5 * before
 
 
-@pytest.mark.parametrize(("silent_servers", "is_stalled"), [(1, True), (4, False)])
-def test_attempts_at_one_silent_server_are_no_fleet_load_but_at_many_they_are(
-    silent_servers: int, is_stalled: bool
+@pytest.mark.parametrize(("unresponsive_servers", "is_stalled"), [(1, True), (4, False)])
+def test_attempts_at_one_unresponsive_server_are_no_fleet_load_but_at_many_they_are(
+    unresponsive_servers: int, is_stalled: bool
 ) -> None:
-    """Recorded incidents ie77502 and ic1606d: one silent server made the whole fleet look full."""
+    """Recorded incidents ie77502 and ic1606d: one unresponsive server made the whole fleet look full."""
     late_answers_count = RequestClass(latency_objective=1000.0, deadline=60000.0, late_weight=0.2)
     driver = make_driver(
         server_count=8, plans=NO_QUOTA, max_attempts=1, request_classes=(late_answers_count,)
     )
-    silent = {endpoint_id(index) for index in range(silent_servers)}
+    unresponsive = {endpoint_id(index) for index in range(unresponsive_servers)}
     for request_id in range(400):
         driver.advance_to(driver.now + 10.0)
         driver.request(request_id, customer=request_id, patience=60000.0)
         for sent in driver.in_flight():
-            if sent.endpoint_id not in silent:
+            if sent.endpoint_id not in unresponsive:
                 driver.end_attempt(sent, Outcome.OK, 50.0)
     assert (driver.engine.limit.stalled > 0) == is_stalled
