--- a/limiter/policy/discovery_backoff.py
+++ b/limiter/policy/discovery_backoff.py
@@ -15,37 +15,76 @@
 from limiter.model.events import DiscoveryPollFailed, EndpointId, EndpointsChanged, EndpointState
 from limiter.policy.context import PolicyContext, Timer
 from limiter.policy.server_table import ServerTable
-from limiter.policy.throttle import clamped
+from limiter.policy.smoothing import clamp
 
-SLOT_MS = 1000.0  # four fit into the 6 s after which a change must be known, with time for poll and gossip
-POLLS_PER_SLOT = 4.0  # of all limiters: half of what a discovery of fixed capacity was seen to answer
-MAX_POLLS_ANNOUNCED = 16  # polls heard of in a slot that show overload beyond doubt: more need no message
-RECOVERY_FACTOR = 10.0  # after two slots without a poll: the minimum is too little for part of a fleet
-GOSSIP_SPREAD_MS = 500.0  # over which limiters with the same report draw their times
-MAX_COPIES = 3  # reports of one server, from all limiters: each may be lost, at one in twenty
-MAX_PEER_REPORTS = 1024  # servers remembered while the own list is up to date: the last release steps
-MAX_SLOTS_UNSHARED = 3.5  # between two polls, at most, where limiters can't gossip of theirs
+# Length of a slot. A change must be known 6 s after it: four slots fit into that, with time for a poll
+# and for gossip.
+SLOT_MS = 1000.0
+
+# The timer of a slot runs this many times its length, drawn evenly, so that limiters do not poll all at
+# once.
+MIN_SLOT_JITTER = 0.6
+MAX_SLOT_JITTER = 1.4
+
+# Polls of all limiters together in a slot. A discovery of fixed capacity was seen to answer twice as many.
+POLLS_PER_SLOT = 4.0
+
+# Polls of a slot of which gossip told that show an overload beyond doubt: further ones are not announced.
+MAX_POLLS_ANNOUNCED = 16
+
+# Factor of the poll probability after two slots without a poll. The minimum, which holds for a fleet in
+# which all limiters poll, is too little if only some of them do.
+RECOVERY_FACTOR = 10.0
+
+# Limiters with the same report draw the times of their messages over this long.
+GOSSIP_SPREAD_MS = 500.0
+
+# Reports of one server that are sent by all limiters together. One message in twenty may be lost.
+MAX_COPIES = 3
+
+# Reported servers that are remembered while the own list is up to date: enough for the last steps of a
+# release.
+MAX_PEER_REPORTS = 1024
+
+# Slots between two polls, at most, where limiters can't gossip of their polls.
+MAX_SLOTS_UNSHARED = 3.5
 
 
 class DiscoveryBackoff:
     """When discovery is polled after a failed poll, and what limiters announce of their polls and answers."""
 
     def __init__(self, context: PolicyContext, servers: ServerTable, may_gossip: bool) -> None:
-        """Start with a stale list; without gossip polls are spread by the size of the fleet alone."""
+        """Start with a stale list, as if a poll had failed.
+
+        Args:
+            context: What the parts of the policy engine share.
+            servers: The servers that the endpoint list names.
+            may_gossip: Whether limiters can tell each other of polls and servers. Without gossip polls are
+                spread by the size of the fleet alone.
+        """
         self.context = context
         self.servers = servers
-        self.limiters = context.settings.limiter_count
+        self.limiter_count = context.settings.limiter_count
         self.may_gossip = may_gossip and context.settings.polls_discovery
-        self.is_poll_scheduled = self.is_gossip_scheduled = False
-        self.is_stale = True  # the last poll was not answered, or there was none
-        self.was_rejected = False  # a poll was rejected since the last answer
-        self.peer_reports: dict[EndpointId, int] = {}  # reports since the last answer
-        self.unannounced: dict[EndpointId, None] = {}  # ordered set of endpoints that are draining or gone
-        self.announce_poll = False
-        self.polls_in_slot = 0  # of all limiters, as far as known here
-        self.silent_slots = 0  # slots in a row without a poll
-        self.min_poll_probability = min(1.0, POLLS_PER_SLOT / self.limiters)
-        self.poll_probability = 0.0  # in a slot; 0 until the first slot after a rejection ends
+        self.is_poll_scheduled = False
+        self.is_gossip_scheduled = False
+        # Whether the last poll was not answered, or there was none.
+        self.is_stale = True
+        # Whether a poll was rejected since the last answer.
+        self.was_rejected = False
+        # Number of reports of each server since the last answer, the longest unreported first.
+        self.peer_reports: dict[EndpointId, int] = {}
+        # Ordered set of endpoints that are draining or gone and still to be reported.
+        self.unannounced: dict[EndpointId, None] = {}
+        # Whether the next message has to tell of a poll.
+        self.announces_poll = False
+        # Polls of all limiters in the running slot, as far as known here.
+        self.polls_in_slot = 0
+        # Slots in a row in which no limiter was known to poll.
+        self.slots_without_poll = 0
+        self.min_poll_probability = min(1.0, POLLS_PER_SLOT / self.limiter_count)
+        # Probability of a poll in a slot; None until the first slot after a rejection ends.
+        self.poll_probability: float | None = None
 
     def start(self) -> None:
         """Ask for the first poll."""
@@ -53,21 +92,26 @@
             self.context.actions.append(PollDiscovery())
 
     def handle_failure(self, _now: float, failure: DiscoveryPollFailed) -> None:
-        """A poll failed: until one is answered, the own list is stale and peers' reports count."""
+        """Take in that a poll failed: until one is answered, peers' reports count."""
         if self.may_gossip:
             self.is_stale = True
-            if failure.rejected and not self.was_rejected:  # from now on polls are made in slots
-                self.was_rejected = True
-                self.poll_probability = 0.0
-                self.silent_slots = self.polls_in_slot = 0  # earlier polls say nothing of this overload
-                self._count_poll()
+            if failure.rejected and not self.was_rejected:
+                self._start_slots()
             self.servers.avoid(self.peer_reports)
             self._schedule_gossip()
         if failure.rejected:
             self._schedule_poll()
 
+    def _start_slots(self) -> None:
+        """Poll in slots from now on. Polls before the rejection say nothing of this overload."""
+        self.was_rejected = True
+        self.poll_probability = None
+        self.slots_without_poll = 0
+        self.polls_in_slot = 0
+        self._count_poll()
+
     def handle_list(self, change: EndpointsChanged) -> None:
-        """An answer of discovery, not yet in the table of servers: from now on the own list decides."""
+        """Take in an answer of discovery, before the server table does: now the own list decides."""
         if not self.may_gossip or change.from_cache:
             return
         known = self.servers.by_id
@@ -75,13 +119,14 @@
         changed = known if change.is_full_list else [endpoint.id for endpoint in change.endpoints]
         removed = [key for key in changed if key in known and known[key].is_ready and key not in listed]
         self.unannounced.update(dict.fromkeys(filter(self._needs_report, removed)))
-        self.is_stale = self.was_rejected = False
+        self.is_stale = False
+        self.was_rejected = False
         self.peer_reports = {}
         self.servers.trust_own_list()
         self._schedule_gossip()
 
     def handle_poll_timer(self) -> None:
-        """The end of a slot: poll discovery, or wait for the next slot."""
+        """Poll discovery at the end of a slot, or wait for the next slot."""
         self.is_poll_scheduled = False
         if self.may_gossip and not self.was_rejected:
             return
@@ -92,46 +137,61 @@
         self._schedule_gossip()
 
     def _should_poll(self) -> bool:
-        polls, self.polls_in_slot = self.polls_in_slot, 0
-        self.silent_slots = 0 if polls else self.silent_slots + 1
-        if not self.poll_probability:  # the first slot: by the number of limiters that were rejected in it
-            is_counted = polls <= MAX_POLLS_ANNOUNCED
-            self.poll_probability = POLLS_PER_SLOT / polls if is_counted else self.min_poll_probability
-        elif polls > POLLS_PER_SLOT:  # as the throttle adapts the admission probability to use
-            self.poll_probability *= POLLS_PER_SLOT / polls
-        elif self.silent_slots > 1:  # not after one: all limiters see the same slot and would all poll
-            self.poll_probability *= RECOVERY_FACTOR
-        self.poll_probability = clamped(self.poll_probability, self.min_poll_probability)
-        is_polling = self.context.random.random() < self.poll_probability
+        """End the slot, and draw whether this limiter polls."""
+        polls = self.polls_in_slot
+        self.polls_in_slot = 0
+        self.slots_without_poll = 0 if polls else self.slots_without_poll + 1
+        probability = self._updated_poll_probability(polls)
+        self.poll_probability = probability
+        is_polling = self.context.random.random() < probability
         if is_polling:
             self._count_poll()
         return is_polling
 
+    def _updated_poll_probability(self, polls: int) -> float:
+        """Return the poll probability after a slot in which all limiters together made this many polls.
+
+        It adapts to the polls as the throttle adapts the admission probability to use.
+        """
+        probability = self.poll_probability
+        if probability is None:
+            # As many limiters as were rejected in the first slot share the polls from now on.
+            is_counted = polls <= MAX_POLLS_ANNOUNCED
+            probability = POLLS_PER_SLOT / polls if is_counted else self.min_poll_probability
+        elif polls > POLLS_PER_SLOT:
+            probability *= POLLS_PER_SLOT / polls
+        elif self.slots_without_poll > 1:
+            # After one such slot the probability stays: all limiters see the same slot, and would all poll.
+            probability *= RECOVERY_FACTOR
+        return clamp(probability, self.min_poll_probability, 1.0)
+
     def _count_poll(self) -> None:
         """Announce a poll as it is made: an overloaded discovery rejects it only a second later."""
-        self.announce_poll = True
+        self.announces_poll = True
         self.polls_in_slot += 1
 
     def _needs_report(self, server: EndpointId) -> bool:
         return self.peer_reports.get(server, 0) < MAX_COPIES
 
     def handle_gossip_timer(self) -> None:
-        """Send the message that is due, unless peers have said it all."""
+        """Send the message that is due, unless messages of peers have made it needless."""
         self.is_gossip_scheduled = False
-        if (body := self.encode()) is not None:
+        body = self.encode()
+        if body is not None:
             self.context.actions.append(BroadcastGossip(body))
             self._schedule_gossip()
 
     def encode(self) -> bytes | None:
         """One message with what is still to be announced; None if there is nothing."""
-        announces_poll = self.announce_poll and self.polls_in_slot <= MAX_POLLS_ANNOUNCED
-        self.announce_poll = False
-        if not announces_poll:  # else a message goes out anyway, and one more copy costs none
+        announces_poll = self.announces_poll and self.polls_in_slot <= MAX_POLLS_ANNOUNCED
+        self.announces_poll = False
+        if not announces_poll:
+            # A message that announces a poll goes out anyway, and one more copy of a report costs none.
             self.unannounced = dict.fromkeys(filter(self._needs_report, self.unannounced))
             if not self.unannounced:
                 return None
-        body, done = encode_report(announces_poll, self.unannounced)
-        for server in done:
+        body, announced = encode_report(announces_poll, self.unannounced)
+        for server in announced:
             del self.unannounced[server]
         return body
 
@@ -141,7 +201,7 @@
             return False
         report = decode_report(body)
         if report is None:
-            return True  # malformed: ignored whole
+            return True  # A malformed message is ignored.
         self.polls_in_slot += report.has_polled
         for server in report.endpoint_ids:
             self.peer_reports[server] = self.peer_reports.pop(server, 0) + 1
@@ -154,14 +214,15 @@
     def _schedule_poll(self) -> None:
         if not self.is_poll_scheduled:
             self.is_poll_scheduled = True
-            fleet_slots = max(1.0, self.limiters / POLLS_PER_SLOT)
-            slots = 1.0 if self.may_gossip else min(MAX_SLOTS_UNSHARED, fleet_slots)
-            jitter = self.context.random.uniform(0.6, 1.4)
+            slots = 1.0
+            if not self.may_gossip:
+                slots = clamp(self.limiter_count / POLLS_PER_SLOT, 1.0, MAX_SLOTS_UNSHARED)
+            jitter = self.context.random.uniform(MIN_SLOT_JITTER, MAX_SLOT_JITTER)
             self.context.set_timer(slots * SLOT_MS * jitter, Timer.DISCOVERY_POLL)
 
     def _schedule_gossip(self) -> None:
         """Draw the time of the next message: mostly late, so that the few early ones save the others."""
-        if not self.is_gossip_scheduled and (self.announce_poll or self.unannounced):
+        if not self.is_gossip_scheduled and (self.announces_poll or self.unannounced):
             self.is_gossip_scheduled = True
-            logarithm = math.log(1 - self.context.random.random()) / math.log(max(2, self.limiters))
+            logarithm = math.log(1 - self.context.random.random()) / math.log(max(2, self.limiter_count))
             self.context.set_timer(GOSSIP_SPREAD_MS * max(0.0, 1 + logarithm), Timer.DISCOVERY_GOSSIP)
