--- a/limiter/transport/driver/request_forwarder.py
+++ b/limiter/transport/driver/request_forwarder.py
@@ -5,9 +5,10 @@
 import asyncio
 from collections.abc import Callable
 from functools import partial
+from typing import assert_never
 
-from limiter.model.actions import CancelAttempt, SendAttempt
-from limiter.model.events import NEVER_RAN, AttemptEnded, ClientDisconnected, Event, Outcome
+from limiter.model.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt
+from limiter.model.events import AttemptEnded, ClientDisconnected, Event, Outcome
 from limiter.model.settings import Idempotency, Settings
 from limiter.policy.throttle import UPDATE_INTERVAL_MS
 from limiter.transport.clock import Clock
@@ -19,19 +20,22 @@
 TIMER_TOLERANCE_MS = 0.5
 
 
+# Actions on a client's request.
+RequestAction = SendAttempt | RejectRequest | FailRequest | CancelAttempt
+
+
 class RequestForwarder:
     """Carries out the policy's attempts and reports their ends; ends requests at their deadlines."""
 
     def __init__(
         self,
-        loop: asyncio.AbstractEventLoop,
         clock: Clock,
         settings: Settings,
         pool: ServerPool,
         handle_event: Callable[[Event], None],
     ) -> None:
         """Report to the policy through `handle_event`."""
-        self._loop = loop
+        self._loop = asyncio.get_running_loop()
         self._clock = clock
         self._max_attempts = settings.max_attempts
         self._request_classes = settings.request_classes
@@ -39,60 +43,89 @@
         self.requests = RequestTable()
         self._handle_event = handle_event
 
+    def carry_out(self, action: RequestAction) -> None:
+        """Carry out an action of the policy; without effect on a request that is released."""
+        request = self.requests.by_number.get(action.request_id)
+        if request is None:
+            return
+        match action:
+            case SendAttempt():
+                self._send_attempt(request, action)
+            case RejectRequest():
+                status = 503 if request.attempt_count else 429
+                self.requests.respond(request, status, retry_after_ms=action.retry_after)
+            case FailRequest():
+                self.requests.respond(request, 502)
+            case CancelAttempt():
+                self._cancel_attempt(request, action.attempt)
+            case _:
+                assert_never(action)
+
     # Requests
 
     def submit(self, request: ProxiedRequest) -> None:
         """Take a new request and let the policy decide on it."""
-        self.requests.by_number[request.event.id] = request
-        delay_ms = max(0.0, request.expires_at - self._clock())
-        request.deadline_timer = self._loop.call_later(delay_ms / 1000, self._deadline_reached, request)
+        self.requests.add(request)
+        self._start_deadline_timer(request, max(0.0, request.remaining_ms(self._clock())))
         self._handle_event(request.event)
 
     def client_disconnected(self, request: ProxiedRequest) -> None:
-        """Finish a request whose client has gone; attempts that have begun to leave go on."""
-        is_submitted = request.event.id in self.requests.by_number
-        if request.finished and not is_submitted:
-            return  # noticed before, and released: its id may be another request's by now
+        """Finish a request whose client has disconnected.
+
+        Attempts that have begun to be written go on: they may run, and the policy is owed their outcomes.
+        """
+        is_submitted = self.requests.is_submitted(request)
         was_finished = request.finished
+        if was_finished and not is_submitted:
+            # It was noticed before and released: the client's id may be another request's by now.
+            return
         request.finish()
         for attempt in request.in_flight:
             attempt.cancel_unsent(Outcome.CANCELLED)
-        if is_submitted and not was_finished:  # else the policy has not seen it, or has seen its end
+        # The policy has not seen a request that is not submitted, and has seen the end of a finished one.
+        if is_submitted and not was_finished:
             self._handle_event(ClientDisconnected(request.event.id))
         self.requests.release_if_done(request)
 
     def end(self, request: ProxiedRequest) -> None:
-        """End a request now: its attempts time out, so that the policy responds; else it is done here."""
-        request.expires_at = self._clock()  # no time for the attempt that the policy may want next
+        """End a request now: its attempts time out, and it gets its response.
+
+        The policy may respond as the attempts time out. If it does not, the response is made here.
+        """
+        request.expire(self._clock())
         for attempt in request.in_flight[:]:
             attempt.abandon()
         if not request.finished:
-            # 503 says that a retry is harmless: only where nothing ran or a repeat does no harm.
-            idempotency = self._request_classes[request.event.request_class].idempotency
-            is_retry_harmless = not request.may_have_run or idempotency is Idempotency.IDEMPOTENT
-            if is_retry_harmless:
-                self.requests.respond(request, 503, retry_after_ms=UPDATE_INTERVAL_MS)
-            else:
-                self.requests.respond(request, 504)
+            self._respond_at_deadline(request)
             self._handle_event(ClientDisconnected(request.event.id))
         self.requests.release_if_done(request)
 
+    def _respond_at_deadline(self, request: ProxiedRequest) -> None:
+        # 503 promises that a retry does no harm: nothing ran, or the request is idempotent.
+        idempotency = self._request_classes[request.event.request_class].idempotency
+        is_retry_harmless = not request.may_have_run or idempotency is Idempotency.IDEMPOTENT
+        if is_retry_harmless:
+            self.requests.respond(request, 503, retry_after_ms=UPDATE_INTERVAL_MS)
+        else:
+            self.requests.respond(request, 504)
+
+    def _start_deadline_timer(self, request: ProxiedRequest, delay_ms: float) -> None:
+        timer = self._loop.call_later(delay_ms / 1000, self._deadline_reached, request)
+        request.deadline_timer_started(timer)
+
     def _deadline_reached(self, request: ProxiedRequest) -> None:
-        early_ms = request.expires_at - self._clock()
-        if early_ms > TIMER_TOLERANCE_MS:
-            request.deadline_timer = self._loop.call_later(early_ms / 1000, self._deadline_reached, request)
-            return
-        request.deadline_timer = None
-        self.end(request)
+        request.deadline_timer_fired()
+        remaining_ms = request.remaining_ms(self._clock())
+        if remaining_ms > TIMER_TOLERANCE_MS:
+            self._start_deadline_timer(request, remaining_ms)
+        else:
+            self.end(request)
 
     # Attempts
 
-    def send_attempt(self, action: SendAttempt) -> None:
+    def _send_attempt(self, request: ProxiedRequest, action: SendAttempt) -> None:
         """Send the request to a server."""
-        request = self.requests.by_number.get(action.request_id)
-        if request is None:
-            return  # released, so it had its response and all its outcomes
-        remaining_ms = request.expires_at - self._clock()
+        remaining_ms = request.remaining_ms(self._clock())
         timeout_ms = min(action.timeout, remaining_ms) if action.timeout else remaining_ms
         data = b"%bX-Deadline-Ms: %d\r\n\r\n%b" % (request.head, max(1, int(timeout_ms)), request.body)
         attempt = Attempt(
@@ -100,44 +133,26 @@
             action.endpoint_id,
             data,
             partial(self._attempt_ended, request),
-            partial(self._finish_if_hung_up, request),
+            request.finish_if_hung_up,
         )
-        request.attempt_count += 1
-        request.in_flight.append(attempt)
-        is_over = self._finish_if_hung_up(request)
-        if is_over or timeout_ms <= 0 or attempt.number >= self._max_attempts:
+        request.attempt_started(attempt)
+        if request.finish_if_hung_up() or timeout_ms <= 0 or attempt.number >= self._max_attempts:
             self._loop.call_soon(attempt.end, Outcome.REQUEST_OVER)
             return
         # One that may last to the end of its request is ended by the request's own timer.
         has_own_timeout = timeout_ms < remaining_ms - TIMER_TOLERANCE_MS
         self._pool.send(attempt, timeout_ms / 1000 if has_own_timeout else None)
 
-    def cancel_attempt(self, action: CancelAttempt) -> None:
+    def _cancel_attempt(self, request: ProxiedRequest, number: int) -> None:
         """Stop waiting for an attempt."""
-        request = self.requests.by_number.get(action.request_id)
-        if request is None:
-            return
         for attempt in request.in_flight:
-            if attempt.number == action.attempt:
+            if attempt.number == number:
                 self._loop.call_soon(attempt.abandon, Outcome.CANCELLED)
 
-    def _finish_if_hung_up(self, request: ProxiedRequest) -> bool:
-        """Whether nothing more may be sent for it; asked where an attempt begins.
-
-        After a turn that was long, or a wait for the processor, the client's end may be behind what led here.
-        """
-        if not request.finished and request.client is not None and request.client.hung_up():
-            client = request.finish()
-            if client is not None:
-                client.close()
-        return request.finished
-
     def _attempt_ended(
         self, request: ProxiedRequest, attempt: Attempt, outcome: Outcome, body: bytes, content_type: bytes
     ) -> None:
-        request.in_flight.remove(attempt)
-        if outcome not in NEVER_RAN:
-            request.may_have_run = True
+        request.attempt_ended(attempt, outcome)
         if outcome is Outcome.OK:
             self.requests.respond(request, 200, body, content_type)
         self._handle_event(
