--- a/limiter/policy/admission.py
+++ b/limiter/policy/admission.py
@@ -27,8 +27,8 @@
 # Smallest fraction of its burst that a bucket rebuilt from gossip must hold for a request to be admitted
 # without a counter call.
 MIN_BURST_SHARE_WITHOUT_CALL = 0.7
-# Least share of requests admitted of late at which a request is reported ahead with the call that it waits
-# for.
+# A request is reported ahead, with the call that it waits for, if at least this share of the customer's
+# latest requests was admitted.
 MIN_ADMIT_SHARE_TO_REPORT_AHEAD = 0.5
 
 
@@ -166,7 +166,8 @@
         if requests and not has_sample and requests[0].admission.probability_drawn:
             has_sample = self._adopt_gossiped_tokens(now, requests[0])
         for request in requests:
-            if request.request.id in self.attempts.requests:  # else its client went away
+            has_client = request.request.id in self.attempts.requests
+            if has_client:
                 self._decide(now, request, has_sample=has_sample)
 
     def _adopt_gossiped_tokens(self, now: float, request: OpenRequest) -> bool:
--- a/limiter/policy/customer.py
+++ b/limiter/policy/customer.py
@@ -105,7 +105,8 @@
             forget_after: Milliseconds without a request after which a customer may be forgotten.
         """
         self._forget_after = forget_after
-        self.records: dict[int, Customer] = {}  # by the customers' keys, the longest idle first
+        # The key is the customer's; the customer that has been idle for longest comes first.
+        self.records: dict[int, Customer] = {}
 
     def take(self, key: int) -> Customer | None:
         """Take a record out, to be put back with `put`."""
--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -131,7 +131,8 @@
 
     def _handle_endpoints(self, now: float, change: events.EndpointsChanged) -> None:
         self.discovery.handle_list(change)
-        if change.endpoints or change.is_full_list:  # else nothing changed
+        has_change = change.is_full_list or bool(change.endpoints)
+        if has_change:
             self.selector.update_endpoints(change)
             if not self.limit.is_known:
                 self.limit.update(now)
--- a/limiter/policy/gossiped_usage.py
+++ b/limiter/policy/gossiped_usage.py
@@ -76,7 +76,8 @@
             sample_interval: Milliseconds that a sample of a customer's use covers at least.
         """
         self.sample_interval = sample_interval
-        self.records: dict[int, GossipedUsage] = {}  # by customer, the longest idle first
+        # The key is the customer's; the customer that has been idle for longest comes first.
+        self.records: dict[int, GossipedUsage] = {}
 
     def find(self, now: float, customer: int, plan: QuotaPlan, mean_latency: float) -> GossipedUsage:
         """Return a customer's record as of `now`: bucket filled, probability updated once a sample."""
--- a/limiter/policy/held_requests.py
+++ b/limiter/policy/held_requests.py
@@ -37,7 +37,7 @@
         self._sampler = sampler
         self._attempts = attempts
         self._housekeeping = housekeeping
-        self._held: dict[int, list[OpenRequest]] = {}  # by customer
+        self._held: dict[int, list[OpenRequest]] = {}  # The key is the customer's.
         self._counter_timeout = context.settings.counter_timeout
 
     def hold(self, now: float, request: OpenRequest) -> bool:
--- a/limiter/policy/usage_gossip.py
+++ b/limiter/policy/usage_gossip.py
@@ -45,7 +45,15 @@
 
 
 class UsageGossip:
-    """One limiter's side of the gossip: what it still has to send, and what it received."""
+    """One limiter's side of the gossip: what it still has to send, and what it received.
+
+    Attributes:
+        is_enabled: Whether the settings allow gossip and there is another limiter.
+        interval: Mean time between two messages of a limiter.
+        peer_load: The load of the other limiters.
+        usage: The customers' use through all limiters.
+        last_message_at: Time of the last message received; minus infinity before the first one.
+    """
 
     def __init__(self, context: PolicyContext) -> None:
         """Start with nothing to send and nothing received."""
@@ -59,10 +67,11 @@
         self.interval = max(MIN_INTERVAL_MS, 1000.0 * peers / max(INTAKE_SHARE * intake_per_second, 1e-9))
         self.peer_load = PeerLoad()
         self.usage = GossipedUsageTable(sample_interval=max(UPDATE_INTERVAL_MS, 2 * self.interval))
-        self._is_scheduled = False  # a message is due
-        self._unsent: dict[tuple[int, int], float] = {}  # units by plan index and customer, the oldest first
-        self.last_message_at = -math.inf  # time of the last message received
-        self._mean_latency = 0.0  # of an attempt, over all limiters
+        self.last_message_at = -math.inf
+        self._is_scheduled = False
+        # Units by plan index and customer; those that have waited for longest come first.
+        self._unsent: dict[tuple[int, int], float] = {}
+        self._mean_latency = 0.0
 
     @property
     def has_unsent_units(self) -> bool:
@@ -91,8 +100,8 @@
 
     def is_fresh(self, now: float) -> bool:
         """Whether a message came lately, or this limiter has just started."""
-        last_message = max(self.last_message_at, self._context.started_at)
-        return self.is_enabled and now - last_message < MAX_INTERVALS_WITHOUT_MESSAGE * self.interval
+        fresh_since = max(self.last_message_at, self._context.started_at)
+        return self.is_enabled and now - fresh_since < MAX_INTERVALS_WITHOUT_MESSAGE * self.interval
 
     def record_forwarded(self, now: float, customer: int, plan_index: int, units: float) -> None:
         """Account for a request that was forwarded from here, and queue its units for the next messages."""
--- a/limiter/policy/usage_sampling.py
+++ b/limiter/policy/usage_sampling.py
@@ -38,8 +38,8 @@
 COUNT_TOLERANCE = 1e-3
 # The next call of a customer comes after the sample interval, more or less by this share of it.
 INTERVAL_JITTER = 0.2
-# Power of the share of requests admitted that estimates how full the bucket of a widely shared customer was
-# at the start of an epoch.
+# The bucket of a widely shared customer is taken to begin an epoch filled to the share of its requests that
+# were admitted, raised to this power.
 START_FILL_EXPONENT = 4
 
 
@@ -49,7 +49,11 @@
 
 
 class UsageSampler:
-    """Calls to the counter, made with a lower probability while it is overloaded."""
+    """Calls to the counter, made with a lower probability while it is overloaded.
+
+    Attributes:
+        call_probability: Probability with which a call that is wanted is made.
+    """
 
     def __init__(self, context: PolicyContext, customers: CustomerRegistry, gossip: UsageGossip) -> None:
         """Start without a call in flight.
@@ -62,10 +66,13 @@
         self._context = context
         self._customers = customers
         self._gossip = gossip
-        self._in_flight: dict[int, Customer] = {}  # customers whose call is in flight, by the call's key
-        self._epochs: dict[float, CounterEpoch] = {}  # the newest epoch of each length, shared by customers
-        self._best_latency: float | None = None  # of a reply; None before the first one
-        self.call_probability = 1.0  # of a call that is wanted
+        self.call_probability = 1.0
+        # Customers whose call is in flight, by the counter key of the call.
+        self._in_flight: dict[int, Customer] = {}
+        # The newest epoch of each length, which all customers with epochs of that length share.
+        self._epochs: dict[float, CounterEpoch] = {}
+        # The shortest latency of a reply, which is forgotten slowly; None before the first reply.
+        self._best_latency: float | None = None
 
     @property
     def calls_in_flight(self) -> int:
