--- a/limiter/policy/context.py
+++ b/limiter/policy/context.py
@@ -50,11 +50,6 @@
         self.started_at = NOT_STARTED
         self.tightest_objective = min(each.latency_objective for each in settings.request_classes)
 
-    @property
-    def is_started(self) -> bool:
-        """Whether there was an event."""
-        return self.started_at >= 0
-
     def start(self, now: float) -> None:
         """Note the time of the first event."""
         self.started_at = now
--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -43,6 +43,7 @@
         """
         validate_settings(settings)
         context = self.context = PolicyContext(settings, seed)
+        self._is_started = False
         self.gossip = UsageGossip(context)
         self.outliers = OutlierDetector(context)
         self.slow_start = SlowStart(context, unseen_load_share(settings))
@@ -78,14 +79,19 @@
         Returns:
             The actions to carry out, in this order.
         """
-        if not self.context.is_started:
-            self.context.start(now)
-            self.limit.start(now)
-            self.discovery.start()
+        if not self._is_started:
+            self._start(now)
         self.limit.advance(now)
         self._dispatch(now, event)
         return self.context.take_actions()
 
+    def _start(self, now: float) -> None:
+        """Begin with the first event."""
+        self._is_started = True
+        self.context.start(now)
+        self.limit.start(now)
+        self.discovery.start()
+
     def _dispatch(self, now: float, event: events.Event) -> None:  # noqa: C901 - one case for each event
         """Hand an event to the part that it concerns, the most frequent kinds first."""
         match event:
--- a/limiter/policy/quota_usage.py
+++ b/limiter/policy/quota_usage.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from limiter.policy.smoothing import clamp, ewma_step
+from limiter.policy.smoothing import ewma_step
 from limiter.policy.throttle import updated_probability
 
 
@@ -36,7 +36,8 @@
             elapsed: Milliseconds since the bucket was last filled.
             capacity: Units that the bucket holds at most.
         """
-        self.tokens = clamp(self.tokens + net_rate * elapsed, 0.0, capacity)
+        # Written out, without `clamp`: this runs for each request and each entry of a gossip message.
+        self.tokens = min(capacity, max(0.0, self.tokens + net_rate * elapsed))
 
     def take(self, units: float) -> None:
         """Take the units of a request that was forwarded; the bucket never holds less than none."""
--- a/limiter/policy/sampled_usage.py
+++ b/limiter/policy/sampled_usage.py
@@ -62,15 +62,15 @@
 
     def advance(self, elapsed: float, plan: QuotaPlan) -> None:
         """Fill the bucket for the time since it was last filled, less the estimated use of the others."""
-        self._fill(elapsed, plan.rate / 1000, self.remote_rate, plan.burst)
+        remote_rate = self.remote_rate
+        self.refill(plan.rate / 1000 - remote_rate, elapsed, plan.burst)
+        self.expected_remote_units += remote_rate * elapsed
+        self.refilled_at += elapsed
 
     def advance_by_even_split(self, elapsed: float, plan: QuotaPlan, limiter_set_size: float) -> None:
         """Fill this limiter's even part of the bucket: it stands for samples that are missing."""
         remote_rate = even_remote_rate(plan, limiter_set_size)
-        self._fill(elapsed, plan.rate / 1000, remote_rate, plan.burst / limiter_set_size)
-
-    def _fill(self, elapsed: float, rate: float, remote_rate: float, capacity: float) -> None:
-        self.refill(rate - remote_rate, elapsed, capacity)
+        self.refill(plan.rate / 1000 - remote_rate, elapsed, plan.burst / limiter_set_size)
         self.expected_remote_units += remote_rate * elapsed
         self.refilled_at += elapsed
 
