--- a/limiter/policy/outlier_detection.py
+++ b/limiter/policy/outlier_detection.py
@@ -226,6 +226,11 @@
             return False
         if ended.outcome in UNINFORMATIVE:
             return False
+        self._judge(now, health, ended, is_success)
+        return is_success
+
+    def _judge(self, now: float, health: ServerHealth, ended: AttemptEnded, is_success: bool) -> None:
+        """Take in an outcome that says something of the server's health: its record, then its ejection."""
         health.age(now, self.mean_latency)
         health.record_outcome(now, is_success)
         if is_success:
@@ -237,7 +242,6 @@
             health.eject(now, self.context.random.uniform(MIN_EJECTION_JITTER, MAX_EJECTION_JITTER))
         else:
             health.end_probe(is_success)
-        return is_success
 
     def _record_latency(self, health: ServerHealth, latency: float) -> None:
         health.record_latency(latency)
