--- a/limiter/transport/clients/http_request.py
+++ b/limiter/transport/clients/http_request.py
@@ -73,15 +73,10 @@
             BadRequestError: The request is not of the protocol's form.
         """
         headers = request.headers
-        if REPEATED in headers:
-            raise BadRequestError(problem="a header given twice")
-        if not REQUEST_ID.fullmatch(headers.get(b"x-request-id", b"")):
-            raise BadRequestError(part="X-Request-Id", problem="missing or malformed")
+        _check_request_id(headers)
         class_path, _, customer = path.removeprefix(b"/").rpartition(b"/")
         class_index = self._class_index(headers, class_path)
-        plan_index = self._plan_indexes.get(headers.get(b"x-tariff", b""))
-        if plan_index is None:
-            raise BadRequestError(part="X-Tariff", problem="missing or unknown")
+        plan_index = self._plan_index(headers)
         self._check_method(request, class_index)
         weight = _parse_weight(headers.get(b"x-weight", b""))
         self._check_weight(weight, plan_index)
@@ -102,6 +97,12 @@
             raise BadRequestError(part="X-Class", problem="missing, unknown or not that of the path")
         return class_index
 
+    def _plan_index(self, headers: Mapping[bytes, bytes]) -> int:
+        plan_index = self._plan_indexes.get(headers.get(b"x-tariff", b""))
+        if plan_index is None:
+            raise BadRequestError(part="X-Tariff", problem="missing or unknown")
+        return plan_index
+
     def _check_method(self, request: ParsedRequest, class_index: int) -> None:
         idempotency = self._settings.request_classes[class_index].idempotency
         expected = b"GET" if idempotency is Idempotency.IDEMPOTENT else b"POST"
@@ -131,6 +132,13 @@
             raise BadRequestError(part="X-Weight", problem="out of range")
 
 
+def _check_request_id(headers: Mapping[bytes, bytes]) -> None:
+    if REPEATED in headers:
+        raise BadRequestError(problem="a header given twice")
+    if not REQUEST_ID.fullmatch(headers.get(b"x-request-id", b"")):
+        raise BadRequestError(part="X-Request-Id", problem="missing or malformed")
+
+
 def _parse_weight(text: bytes) -> CustomerWeight:
     pairs = [part.strip().split(b"=", 1) for part in text.split(b",")]
     fields = {pair[0]: pair[1] for pair in pairs if len(pair) == 2}
--- a/limiter/transport/driver/proxied_request.py
+++ b/limiter/transport/driver/proxied_request.py
@@ -68,10 +68,13 @@
         self.client_request_id = client_request_id
         self.head = head
         self.body = body
-        self._expires_at_ms = event.expires_at  # on the clock of the events
-        self.attempt_count = 0  # attempts that were begun, which is also the number of the next
+        # Its deadline, on the clock of the events.
+        self._expires_at_ms = event.expires_at
+        # How many attempts were begun, which is also the number of the next one.
+        self.attempt_count = 0
         self.in_flight: list[Attempt] = []
-        self.may_have_run = False  # on a server, as far as the outcomes of its attempts tell
+        # A server may have run it, as far as the outcomes of its attempts tell.
+        self.may_have_run = False
         self.finished = False
         self._deadline_timer: asyncio.TimerHandle | None = None
 
@@ -140,7 +143,8 @@
     def __init__(self) -> None:
         """Make a table without requests."""
         self.by_number: dict[int, ProxiedRequest] = {}
-        self.client_request_ids: set[bytes] = set()  # of requests that were read and are not released
+        # The clients' ids of all requests that were read and are not released, submitted or not.
+        self.client_request_ids: set[bytes] = set()
         self._numbers = itertools.count()
 
     def next_number(self) -> int:
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -43,8 +43,10 @@
 
 log = logging.getLogger(__name__)
 
-SWEEP_INTERVAL_SECONDS = 1.0  # between two rounds of closing idle connections to servers
-SERVER_CONNECTION_SHARE = 0.4  # of the descriptors, for connections to servers
+# Interval at which connections to servers that were idle for too long are closed.
+SWEEP_INTERVAL_SECONDS = 1.0
+# Share of the file descriptors that is for connections to servers.
+SERVER_CONNECTION_SHARE = 0.4
 
 
 class Proxy:
@@ -54,7 +56,17 @@
     """
 
     def __init__(self, config: Config, clock: Clock) -> None:
-        """Open the socket for gossip; the other connections are opened when they are needed."""
+        """Open the socket for gossip, and connect to the counter in the background.
+
+        Connections to servers are opened when they are needed; discovery is polled from `discovery.start` on.
+
+        Args:
+            config: The configuration of the process.
+            clock: The clock of the events, shared with the request handler.
+
+        Raises:
+            OSError: The address for gossip cannot be bound.
+        """
         self._loop = asyncio.get_running_loop()
         self._clock = clock
         self.settings = config.settings
@@ -68,7 +80,8 @@
         self.requests = self.forwarder.requests
         self.counter = self._make_counter(config)
         self._gossip = self._make_gossip(config)
-        self.discovery = self._make_discovery(config)  # polls nothing until it is started
+        # The watch is started by the start of the process, which reads the configured endpoint list before.
+        self.discovery = self._make_discovery(config)
         self._ready_servers: set[bytes] = set()
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
@@ -172,7 +185,7 @@
         self._loop.call_later(action.delay / 1000, self.fire_timer, due_ms, action.token)
 
     def fire_timer(self, due_ms: float, token: int) -> None:
-        """Tell the policy that its timer has run out, once the clock says so.
+        """Deliver TimerFired once the policy's clock has reached the timer's time.
 
         The loop's time is that of its turn's start, so its timers may come early by the length of a turn; the
         policy ignores a timer that comes before its time, and would never set it again.
--- a/limiter/transport/driver/request_forwarder.py
+++ b/limiter/transport/driver/request_forwarder.py
@@ -16,11 +16,12 @@
 from limiter.transport.servers.attempt import Attempt
 from limiter.transport.servers.server_pool import ServerPool
 
-# A timer that is early by less counts as due; an attempt that would end within it is ended by its request.
+# A timer that fires early by less than this counts as due. An attempt whose time-out is within it of the
+# request's deadline gets no timer of its own: the request's timer ends it.
 TIMER_TOLERANCE_MS = 0.5
 
 
-# Actions on a client's request.
+# The actions of the policy on a client's request.
 RequestAction = SendAttempt | RejectRequest | FailRequest | CancelAttempt
 
 
@@ -34,7 +35,14 @@
         pool: ServerPool,
         handle_event: Callable[[Event], None],
     ) -> None:
-        """Report to the policy through `handle_event`."""
+        """Make a forwarder without requests.
+
+        Args:
+            clock: The clock of the events.
+            settings: Request classes, and the limit of attempts for a request.
+            pool: Carries the attempts.
+            handle_event: Gives an event to the policy, and carries out its actions.
+        """
         self._loop = asyncio.get_running_loop()
         self._clock = clock
         self._max_attempts = settings.max_attempts
@@ -139,7 +147,7 @@
         if request.finish_if_hung_up() or timeout_ms <= 0 or attempt.number >= self._max_attempts:
             self._loop.call_soon(attempt.end, Outcome.REQUEST_OVER)
             return
-        # One that may last to the end of its request is ended by the request's own timer.
+        # An attempt that may last until its request's deadline is ended by the request's timer.
         has_own_timeout = timeout_ms < remaining_ms - TIMER_TOLERANCE_MS
         self._pool.send(attempt, timeout_ms / 1000 if has_own_timeout else None)
 
