--- a/limiter/__main__.py
+++ b/limiter/__main__.py
@@ -10,7 +10,8 @@
 
 import uvloop
 
-from limiter.configuration.config import ConfigError, load
+from limiter.configuration.config import ConfigError
+from limiter.configuration.config_loader import load
 from limiter.process.startup import raise_descriptor_limit, run
 
 
