--- a/limiter/transport/clients/client_connection.py
+++ b/limiter/transport/clients/client_connection.py
@@ -29,12 +29,19 @@
 
 
 class ConnectionState(Enum):
-    """What becomes of a connection after the responses that it owes."""
+    """What becomes of a connection after the responses that it owes.
 
-    OPEN = "open"  # it waits for the next request
-    CLOSING = "closing"  # it is closed
-    FAILED = "failed"  # its input was bad: nothing more is parsed, and it is closed once its client has read
-    CLOSED = "closed"  # it owes none: it is closed already
+    Attributes:
+        OPEN: It waits for the next request.
+        CLOSING: It is closed.
+        FAILED: Its input was bad. Nothing more is parsed; it is closed once its client has read the error.
+        CLOSED: It owes none, because it is closed already.
+    """
+
+    OPEN = "open"
+    CLOSING = "closing"
+    FAILED = "failed"
+    CLOSED = "closed"
 
 
 class ConnectionObserver(Protocol):
@@ -107,7 +114,7 @@
         self.transport: asyncio.Transport | None = None
         self._parser: RequestParser | None = RequestParser(self._request_read)
         self.current: ProxiedRequest | None = None
-        self.pipelined: deque[QueuedRequest] = deque()  # behind the current one, in their order
+        self.pipelined: deque[QueuedRequest] = deque()  # They wait behind the current one, in their order.
         self._state = ConnectionState.OPEN
         self._is_overflow = False  # It is one connection too many: its requests are rejected at once.
         self._discarded_bytes = 0
--- a/limiter/transport/clients/request_parser.py
+++ b/limiter/transport/clients/request_parser.py
@@ -110,8 +110,8 @@
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._error: LocalResponse | None = None
         self._head_complete = False
-        self._received_bytes = 0  # of the request that is not complete yet
-        self.is_partial = False  # part of a request has been received
+        self._received_bytes = 0  # Bytes of the request that is not complete yet.
+        self.is_partial = False  # Part of a request has been received, and not yet all of it.
 
     def feed(self, data: bytes) -> LocalResponse | None:
         """Parse what was received; return the response to fail the connection with if it is not accepted."""
--- a/limiter/transport/driver/proxied_request.py
+++ b/limiter/transport/driver/proxied_request.py
@@ -60,7 +60,7 @@
             client: Where its final response goes.
             event: What the policy decides on.
             client_request_id: The id that the client gave it.
-            head: Request line and headers for the server, without the deadline and the blank line.
+            head: Request line and headers for the server, but for the deadline and the blank line.
             body: The body for the server.
         """
         self._client: ResponseSink | None = client
@@ -73,8 +73,7 @@
         # How many attempts were begun, which is also the number of the next one.
         self.attempt_count = 0
         self.in_flight: list[Attempt] = []
-        # A server may have run it, as far as the outcomes of its attempts tell.
-        self.may_have_run = False
+        self.may_have_run = False  # An outcome of its attempts says that a server may have run it.
         self.finished = False
         self._deadline_timer: asyncio.TimerHandle | None = None
 
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -7,6 +7,7 @@
 import math
 from typing import assert_never
 
+from limiter.configuration.addresses import Address
 from limiter.configuration.config import Config
 from limiter.model.actions import (
     Action,
@@ -24,6 +25,8 @@
 from limiter.model.events import (
     CounterReply,
     DiscoveryPollFailed,
+    Endpoint,
+    EndpointId,
     EndpointsChanged,
     EndpointState,
     Event,
@@ -120,26 +123,36 @@
     def servers_changed(
         self, servers: list[ListedEndpoint], is_full_list: bool, from_cache: bool = False
     ) -> None:
-        """Apply the endpoint list, or what changed of it."""
-        listed = set()
+        """Apply the endpoint list, or what changed of it.
+
+        Args:
+            servers: The servers of the list, or those that changed.
+            is_full_list: Whether servers that are not named are removed.
+            from_cache: Whether the list is the one of the configuration, which may be old.
+        """
         for endpoint, address in servers:
-            listed.add(endpoint.id)
-            if endpoint.state is EndpointState.GONE:
-                self.pool.remove(endpoint.id)
-            else:
-                self.pool.update(endpoint.id, address, endpoint.started_at)
-            if endpoint.state is EndpointState.READY:
-                self._ready_servers.add(endpoint.id)
-            else:
-                self._ready_servers.discard(endpoint.id)
-                self.pool.drain(endpoint.id)
-        if is_full_list:
-            self._ready_servers &= listed
-            for server_id in [server_id for server_id in self.pool.servers if server_id not in listed]:
-                self.pool.remove(server_id)
+            self._apply_endpoint(endpoint, address)
         endpoints = tuple(endpoint for endpoint, _ in servers)
+        if is_full_list:
+            self._remove_unlisted({endpoint.id for endpoint in endpoints})
         self._handle_event(EndpointsChanged(endpoints, is_full_list, from_cache))
 
+    def _apply_endpoint(self, endpoint: Endpoint, address: Address) -> None:
+        if endpoint.state is EndpointState.GONE:
+            self.pool.remove(endpoint.id)
+        else:
+            self.pool.update(endpoint.id, address, endpoint.started_at)
+        if endpoint.state is EndpointState.READY:
+            self._ready_servers.add(endpoint.id)
+        else:
+            self._ready_servers.discard(endpoint.id)
+            self.pool.drain(endpoint.id)
+
+    def _remove_unlisted(self, listed: set[EndpointId]) -> None:
+        self._ready_servers &= listed
+        for server_id in [server_id for server_id in self.pool.servers if server_id not in listed]:
+            self.pool.remove(server_id)
+
     def _discovery_failed(self, rejected: bool) -> None:
         """Note that a poll brought no list; `rejected` says that discovery turned it away."""
         self._handle_event(DiscoveryPollFailed(rejected))
