--- a/limiter/transport/driver/proxied_request.py
+++ b/limiter/transport/driver/proxied_request.py
@@ -60,7 +60,7 @@
             client: Where its final response goes.
             event: What the policy decides on.
             client_request_id: The id that the client gave it.
-            head: Request line and headers for the server, without the deadline and the blank line.
+            head: Request line and headers for the server, but for the deadline and the blank line.
             body: The body for the server.
         """
         self._client: ResponseSink | None = client
@@ -68,10 +68,12 @@
         self.client_request_id = client_request_id
         self.head = head
         self.body = body
-        self._expires_at_ms = event.expires_at  # on the clock of the events
-        self.attempt_count = 0  # attempts that were begun, which is also the number of the next
+        # Its deadline, on the clock of the events.
+        self._expires_at_ms = event.expires_at
+        # How many attempts were begun, which is also the number of the next one.
+        self.attempt_count = 0
         self.in_flight: list[Attempt] = []
-        self.may_have_run = False  # on a server, as far as the outcomes of its attempts tell
+        self.may_have_run = False  # An outcome of its attempts says that a server may have run it.
         self.finished = False
         self._deadline_timer: asyncio.TimerHandle | None = None
 
@@ -140,7 +142,8 @@
     def __init__(self) -> None:
         """Make a table without requests."""
         self.by_number: dict[int, ProxiedRequest] = {}
-        self.client_request_ids: set[bytes] = set()  # of requests that were read and are not released
+        # The clients' ids of all requests that were read and are not released, submitted or not.
+        self.client_request_ids: set[bytes] = set()
         self._numbers = itertools.count()
 
     def next_number(self) -> int:
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -7,6 +7,7 @@
 import math
 from typing import assert_never
 
+from limiter.configuration.addresses import Address
 from limiter.configuration.config import Config
 from limiter.model.actions import (
     Action,
@@ -24,6 +25,8 @@
 from limiter.model.events import (
     CounterReply,
     DiscoveryPollFailed,
+    Endpoint,
+    EndpointId,
     EndpointsChanged,
     EndpointState,
     Event,
@@ -43,8 +46,10 @@
 
 log = logging.getLogger(__name__)
 
-SWEEP_INTERVAL_SECONDS = 1.0  # between two rounds of closing idle connections to servers
-SERVER_CONNECTION_SHARE = 0.4  # of the descriptors, for connections to servers
+# Interval at which connections to servers that were idle for too long are closed.
+SWEEP_INTERVAL_SECONDS = 1.0
+# Share of the file descriptors that is for connections to servers.
+SERVER_CONNECTION_SHARE = 0.4
 
 
 class Proxy:
@@ -54,7 +59,17 @@
     """
 
     def __init__(self, config: Config, clock: Clock) -> None:
-        """Open the socket for gossip; the other connections are opened when they are needed."""
+        """Open the socket for gossip, and connect to the counter in the background.
+
+        Connections to servers are opened when they are needed; discovery is polled from `discovery.start` on.
+
+        Args:
+            config: The configuration of the process.
+            clock: The clock of the events, shared with the request handler.
+
+        Raises:
+            OSError: The address for gossip cannot be bound.
+        """
         self._loop = asyncio.get_running_loop()
         self._clock = clock
         self.settings = config.settings
@@ -68,7 +83,8 @@
         self.requests = self.forwarder.requests
         self.counter = self._make_counter(config)
         self._gossip = self._make_gossip(config)
-        self.discovery = self._make_discovery(config)  # polls nothing until it is started
+        # The watch is started by the start of the process, which reads the configured endpoint list before.
+        self.discovery = self._make_discovery(config)
         self._ready_servers: set[bytes] = set()
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
@@ -107,26 +123,36 @@
     def servers_changed(
         self, servers: list[ListedEndpoint], is_full_list: bool, from_cache: bool = False
     ) -> None:
-        """Apply the endpoint list, or what changed of it."""
-        listed = set()
+        """Apply the endpoint list, or what changed of it.
+
+        Args:
+            servers: The servers of the list, or those that changed.
+            is_full_list: Whether servers that are not named are removed.
+            from_cache: Whether the list is the one of the configuration, which may be old.
+        """
         for endpoint, address in servers:
-            listed.add(endpoint.id)
-            if endpoint.state is EndpointState.GONE:
-                self.pool.remove(endpoint.id)
-            else:
-                self.pool.update(endpoint.id, address, endpoint.started_at)
-            if endpoint.state is EndpointState.READY:
-                self._ready_servers.add(endpoint.id)
-            else:
-                self._ready_servers.discard(endpoint.id)
-                self.pool.drain(endpoint.id)
-        if is_full_list:
-            self._ready_servers &= listed
-            for server_id in [server_id for server_id in self.pool.servers if server_id not in listed]:
-                self.pool.remove(server_id)
+            self._apply_endpoint(endpoint, address)
         endpoints = tuple(endpoint for endpoint, _ in servers)
+        if is_full_list:
+            self._remove_unlisted({endpoint.id for endpoint in endpoints})
         self._handle_event(EndpointsChanged(endpoints, is_full_list, from_cache))
 
+    def _apply_endpoint(self, endpoint: Endpoint, address: Address) -> None:
+        if endpoint.state is EndpointState.GONE:
+            self.pool.remove(endpoint.id)
+        else:
+            self.pool.update(endpoint.id, address, endpoint.started_at)
+        if endpoint.state is EndpointState.READY:
+            self._ready_servers.add(endpoint.id)
+        else:
+            self._ready_servers.discard(endpoint.id)
+            self.pool.drain(endpoint.id)
+
+    def _remove_unlisted(self, listed: set[EndpointId]) -> None:
+        self._ready_servers &= listed
+        for server_id in [server_id for server_id in self.pool.servers if server_id not in listed]:
+            self.pool.remove(server_id)
+
     def _discovery_failed(self, rejected: bool) -> None:
         """Note that a poll brought no list; `rejected` says that discovery turned it away."""
         self._handle_event(DiscoveryPollFailed(rejected))
@@ -172,7 +198,7 @@
         self._loop.call_later(action.delay / 1000, self.fire_timer, due_ms, action.token)
 
     def fire_timer(self, due_ms: float, token: int) -> None:
-        """Tell the policy that its timer has run out, once the clock says so.
+        """Deliver TimerFired once the policy's clock has reached the timer's time.
 
         The loop's time is that of its turn's start, so its timers may come early by the length of a turn; the
         policy ignores a timer that comes before its time, and would never set it again.
