--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -22,7 +22,7 @@
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer, ReceivedRequest, SlowAcceptServer
-from tests.support.limiter_settings import settings
+from tests.support.limiter_settings import known_list, settings
 from tests.support.waiting import PATIENCE_SECONDS, wait_until
 
 ROOT = Path(__file__).parents[2]
@@ -115,7 +115,7 @@
             "counter": self.counter.address,
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
-            "known": {"generation": 1, "reset": True, "instances": self.discovery.entries},
+            "known": known_list(*self.discovery.entries),
             "settings": limiter_settings,
             **(config_changes or {}),
         }
--- a/tests/support/limiter_settings.py
+++ b/tests/support/limiter_settings.py
@@ -73,3 +73,8 @@
         "settings": settings(),
     }
     return {**document, **changes}
+
+
+def known_list(*entries: dict[str, Any]) -> dict[str, Any]:
+    """Return a configuration's known endpoint list, version 1, with these entries."""
+    return {"generation": 1, "reset": True, "instances": list(entries)}
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -11,17 +11,17 @@
 from limiter.transport.discovery.poll_pacing import PollPacing
 from tests.support.client import HEALTH_CHECK, http_request
 from tests.support.fake_discovery import FakeDiscovery
-from tests.support.harness import HarnessOptions, LimiterHarness, limiter_with, wait_for_version
-from tests.support.limiter_settings import settings
+from tests.support.harness import (
+    HarnessOptions,
+    LimiterHarness,
+    limiter_with,
+    response_bodies,
+    wait_for_version,
+)
+from tests.support.limiter_settings import known_list, settings
 from tests.support.waiting import wait_until
 
-
-async def bodies_of_requests(harness: LimiterHarness, request_count: int = 12) -> set[bytes]:
-    """Send requests and return the distinct bodies of the responses, which name the servers."""
-    return {
-        (await harness.send_request(http_request("submit", request_id=str(index)))).body
-        for index in range(request_count)
-    }
+REQUEST_COUNT = 12  # Enough requests for each server that is in use to get some of them.
 
 
 @limiter_with(servers=3)
@@ -30,12 +30,12 @@
     harness.discovery.publish(first.list_entry("leaving"), second.list_entry("left"))
     await wait_until(lambda: len(harness.discovery.calls) > 2)
     await wait_for_version(harness, 2)
-    assert await bodies_of_requests(harness) == {b"from s-2"}
+    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-2"}
     # A full list removes the servers that it does not name.
     harness.discovery.publish(second.list_entry(), full_list=True)
     await wait_for_version(harness, 3)
     third.received.clear()
-    assert await bodies_of_requests(harness) == {b"from s-1"}
+    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-1"}
     assert third.received == []
 
 
@@ -44,10 +44,10 @@
     moving, other = harness.servers
     harness.discovery.publish(moving.list_entry(), full_list=True)
     await wait_for_version(harness, 2)
-    assert await bodies_of_requests(harness, 3) == {b"from s-0"}
+    assert await response_bodies(harness, "submit", 3) == {b"from s-0"}
     harness.discovery.publish(moving.list_entry(hostPort=other.address))
     await wait_for_version(harness, 3)
-    assert await bodies_of_requests(harness, 3) == {b"from s-1"}
+    assert await response_bodies(harness, "submit", 3) == {b"from s-1"}
 
 
 async def test_calls_follow_on_one_connection_and_ask_for_changes(harness: LimiterHarness) -> None:
@@ -109,7 +109,7 @@
 async def test_start_asks_for_the_full_list_where_lists_are_pushed(harness: LimiterHarness) -> None:
     """Each agent numbers its lists on its own: changes since another agent's version would miss some."""
     listed, unlisted = harness.servers
-    known = {"generation": 1, "reset": True, "instances": [listed.list_entry(), unlisted.list_entry()]}
+    known = known_list(listed.list_entry(), unlisted.list_entry())
     harness.discovery.version = 9
     harness.discovery.full_list = False
     harness.discovery.entries = [listed.list_entry()]
@@ -118,7 +118,7 @@
     await harness.restart(known=known)
     target = harness.discovery.calls[-1].target
     assert target == "/catalog/members" or "since=9" in target
-    assert await bodies_of_requests(harness) == {b"from s-0"}
+    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
     assert unlisted.received == []
 
 
@@ -133,7 +133,7 @@
     harness.discovery.status = 200
     await wait_for_version(harness, 2)
     assert all("since=" in target for _, target in harness.discovery.calls)
-    assert await bodies_of_requests(harness) == {b"from s-0"}
+    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
 
 
 class RecordedWatch:
@@ -206,7 +206,7 @@
     began = time.monotonic()
     await wait_for_version(harness, 2)
     assert time.monotonic() - began < 6.0
-    assert await bodies_of_requests(harness) == {b"from s-0"}
+    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
 
 
 async def test_lower_version_leads_to_the_full_list(harness: LimiterHarness) -> None:
@@ -252,7 +252,7 @@
         assert target.endswith("timeout_ms=1")
     harness.discovery.is_responding = True
     await wait_for_version(harness, 2)
-    assert await bodies_of_requests(harness) == {b"from s-0"}
+    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
 
 
 @limiter_with(servers=2)
@@ -265,7 +265,7 @@
     harness.discovery.is_responding = True
     harness.discovery.publish(harness.servers[1].list_entry("leaving"))
     await wait_for_version(harness, 2)
-    assert await bodies_of_requests(harness) == {b"from s-0"}
+    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
 
 
 REMOVED_SERVER = {"instanceId": "s-9", "hostPort": "127.0.0.1:9", "lifecycle": "left"}
--- a/tests/transport/test_restart_together.py
+++ b/tests/transport/test_restart_together.py
@@ -18,7 +18,7 @@
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer, SlowAcceptServer
 from tests.support.harness import DEFAULT_SOCKETS, LimiterHarness
-from tests.support.limiter_settings import settings_with_quota
+from tests.support.limiter_settings import known_list, settings_with_quota
 
 LIMITER_COUNT = 5
 READY_SECONDS = 10.0  # A limiter must be ready so soon after its start, or after discovery's first response.
@@ -70,7 +70,7 @@
 
     def known_list(self) -> dict[str, Any]:
         """Return the list with the server, for a limiter's configuration."""
-        return {"generation": 1, "reset": True, "instances": self.discovery.entries}
+        return known_list(*self.discovery.entries)
 
     def recover(self) -> None:
         """Let discovery respond with its list from now on."""
--- a/tests/transport/test_startup.py
+++ b/tests/transport/test_startup.py
@@ -14,7 +14,7 @@
 from tests.support.client import Connection, Response, http_request
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer
-from tests.support.limiter_settings import configuration
+from tests.support.limiter_settings import configuration, known_list
 from tests.support.waiting import PATIENCE_SECONDS, wait_until
 
 
@@ -42,12 +42,12 @@
 
 def configuration_between(listen_port: int, discovery: FakeDiscovery, known: list[FakeServer]) -> Config:
     """Return the configuration of a limiter with this port, discovery and list of known servers."""
-    instances = [server.list_entry() for server in known]
+    entries = [server.list_entry() for server in known]
     document = configuration(
         listen=f"127.0.0.1:{listen_port}",
         discovery=discovery.address,
         seed="1",
-        known={"generation": 1, "reset": True, "instances": instances},
+        known=known_list(*entries),
     )
     return parse(document)
 
