--- a/limiter/policy/admission.py
+++ b/limiter/policy/admission.py
@@ -12,13 +12,13 @@
 from limiter.model.actions import RejectRequest
 from limiter.model.events import ClientRequest, CounterReply, Outcome
 from limiter.policy.admission_rules import AdmissionRules, Verdict
+from limiter.policy.attempt_dispatch import AttemptDispatcher
 from limiter.policy.context import PolicyContext
 from limiter.policy.customer import Customer
 from limiter.policy.customer_housekeeping import CustomerHousekeeping
 from limiter.policy.customer_registry import CustomerRegistry
 from limiter.policy.held_requests import HeldRequests
 from limiter.policy.open_request import OpenRequest
-from limiter.policy.retries import AttemptManager
 from limiter.policy.throttle import SAMPLE_INTERVAL_MS, UPDATE_INTERVAL_MS
 from limiter.policy.usage_gossip import UsageGossip
 from limiter.policy.usage_reporting import UsageReporter
@@ -27,8 +27,8 @@
 # Smallest fraction of its burst that a bucket rebuilt from gossip must hold for a request to be admitted
 # without a counter call.
 MIN_BURST_SHARE_WITHOUT_CALL = 0.7
-# Least share of requests admitted of late at which a request is reported ahead with the call that it waits
-# for.
+# A request is reported ahead, with the call that it waits for, if at least this share of the customer's
+# latest requests was admitted.
 MIN_ADMIT_SHARE_TO_REPORT_AHEAD = 0.5
 
 
@@ -53,7 +53,7 @@
     sampler: UsageSampler
     gossip: UsageGossip
     rules: AdmissionRules
-    attempts: AttemptManager
+    attempts: AttemptDispatcher
     held: HeldRequests
     reporter: UsageReporter
     housekeeping: CustomerHousekeeping
@@ -64,7 +64,7 @@
             return
         customer = self.customers.find(now, request)
         self.customers.advance(customer, now)
-        self.attempts.earn_retries()
+        self.attempts.retry_budget.earn()
         open_request = self._open(now, request, customer)
         if not self.customers.is_widely_shared(customer):
             self._decide(now, open_request, has_sample=True)
@@ -166,7 +166,8 @@
         if requests and not has_sample and requests[0].admission.probability_drawn:
             has_sample = self._adopt_gossiped_tokens(now, requests[0])
         for request in requests:
-            if request.request.id in self.attempts.requests:  # else its client went away
+            has_client = request.request.id in self.attempts.requests
+            if has_client:
                 self._decide(now, request, has_sample=has_sample)
 
     def _adopt_gossiped_tokens(self, now: float, request: OpenRequest) -> bool:
--- a/limiter/transport/clients/request_handler.py
+++ b/limiter/transport/clients/request_handler.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limiter.configuration.config import Config
-from limiter.transport.clients.client_connection import ClientConnection
+from limiter.transport.clients.client_connection import ClientConnection, QueuedRequest
 from limiter.transport.clients.client_response import LocalResponse
 from limiter.transport.clients.http_request import BadRequestError, RequestValidator
 from limiter.transport.clients.request_parser import ParsedRequest
@@ -21,33 +21,54 @@
     """Answers health checks, validates other requests and submits them to the proxy."""
 
     def __init__(self, config: Config, proxy: Proxy, clock: Clock) -> None:
-        """Handle requests by the settings of `config`."""
+        """Make a handler that is not draining.
+
+        Args:
+            config: Classes, plans and bounds that requests must keep to.
+            proxy: Gets the requests.
+            clock: The clock of the events.
+        """
         self._proxy = proxy
         self._requests = proxy.requests
         self._forwarder = proxy.forwarder
         self._clock = clock
         self._validator = RequestValidator(config)
-        self.draining = False  # each connection is closed with its next response
-        self.stopped = False  # no request is submitted any more
+        self._is_draining = False
+        self._is_stopped = False
+
+    @property
+    def is_draining(self) -> bool:
+        """Whether each connection is closed with its next response."""
+        return self._is_draining
+
+    @property
+    def is_stopped(self) -> bool:
+        """Whether no request is submitted any more."""
+        return self._is_stopped
+
+    def start_draining(self) -> None:
+        """From now on close each connection with its next response, and fail health checks."""
+        self._is_draining = True
 
-    def prepare(self, connection: ClientConnection, request: ParsedRequest) -> ProxiedRequest | LocalResponse:
-        """Make of a request what is to be submitted, or its response."""
+    def stop(self) -> None:
+        """From now on reject requests in place of submitting them."""
+        self._is_stopped = True
+
+    def prepare(self, connection: ClientConnection, request: ParsedRequest) -> QueuedRequest:
+        """Return the request to submit when its turn comes, or its response if no server is needed."""
         path = request.target.partition(b"?")[0]
         if path == HEALTH_PATH:
-            return READY if self._proxy.ready and not self.draining else NOT_READY
+            return READY if self._proxy.ready and not self._is_draining else NOT_READY
         try:
             event = self._validator.validate(request, path, self._requests.next_number(), self._clock())
         except BadRequestError as error:
             return LocalResponse(400, b"%b\n" % str(error).encode())
         client_request_id = request.headers[b"x-request-id"]
-        if client_request_id in self._requests.client_request_ids:
-            # Forwarded, it would run a second time, or as another client's request.
+        if not self._requests.claim_client_request_id(client_request_id):
+            # If it were forwarded, it would run a second time, or as another client's request.
             return DUPLICATE_ID
         body = b"".join(request.body_parts)
-        head = b"%b %b HTTP/1.1\r\n%b" % (request.method, request.target, b"".join(request.forwarded_lines))
-        if body or request.method == b"POST":
-            head += b"Content-Length: %d\r\n" % len(body)
-        self._requests.client_request_ids.add(client_request_id)
+        head = _encode_head(request, len(body))
         return ProxiedRequest(connection, event, client_request_id, head, body)
 
     def submit(self, request: ProxiedRequest) -> None:
@@ -57,3 +78,11 @@
     def client_disconnected(self, request: ProxiedRequest) -> None:
         """Finish a prepared request whose client no longer gets its response."""
         self._forwarder.client_disconnected(request)
+
+
+def _encode_head(request: ParsedRequest, body_bytes: int) -> bytes:
+    """Return request line and headers for the server, without the deadline and the blank line."""
+    head = b"%b %b HTTP/1.1\r\n%b" % (request.method, request.target, b"".join(request.forwarded_lines))
+    if body_bytes or request.method == b"POST":
+        head += b"Content-Length: %d\r\n" % body_bytes
+    return head
--- a/tests/transport/test_graceful_shutdown.py
+++ b/tests/transport/test_graceful_shutdown.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from limiter import __main__
 from limiter.model.settings import QuotaPlan, RequestClass, Settings
+from limiter.process import shutdown
 from limiter.transport.clients.connection_registry import IDLE_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS
 from limiter.transport.clients.listener import Listener
 from tests.support.client import REQUEST_ID, http_request
@@ -35,7 +35,7 @@
         client.send(http_request(request_id="1"))
         assert (await client.response()).body == b"from s-0"
     else:
-        await wait_until(lambda: listener.registry.silent)
+        await wait_until(lambda: listener.registry.new)
     return client
 
 
@@ -45,8 +45,8 @@
     async with in_process_limiter(FakeServer("s-0")) as (_, listener):
         client = await connect_client(listener, is_reused=is_reused)
         if not is_reused:
-            [connection] = listener.registry.silent
-            connection.state_since -= 1.0  # It was opened some time ago.
+            [connection] = listener.registry.new
+            listener.registry.new[connection] -= 1.0  # It was opened some time ago.
         listener.start_draining()
         listener.stop_accepting()
         client.send(http_request(request_id="2"))
@@ -59,11 +59,11 @@
     """The time-out does not close a connection while a request waits in the kernel."""
     async with in_process_limiter(FakeServer("s-0")) as (_, listener):
         client = await connect_client(listener, is_reused=is_reused)
-        connections = listener.registry.idle if is_reused else listener.registry.silent
+        connections = listener.registry.idle if is_reused else listener.registry.new
         timeout_seconds = IDLE_TIMEOUT_SECONDS if is_reused else READ_TIMEOUT_SECONDS
         await wait_until(lambda: connections)
         [connection] = connections
-        connection.state_since -= timeout_seconds + 1.0
+        connections[connection] -= timeout_seconds + 1.0
         client.send(http_request(request_id="2"))
         listener.registry.close_expired()
         assert (await client.response()).body == b"from s-0"
@@ -71,13 +71,13 @@
 
 async def test_a_partial_request_is_served_when_listening_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its client may complete it until the end of the shutdown."""
-    monkeypatch.setattr(__main__, "ACCEPT_AFTER_SIGTERM_SECONDS", 0.0)
-    monkeypatch.setattr(__main__, "FLUSH_SECONDS", 0.0)
+    monkeypatch.setattr(shutdown, "ACCEPT_AFTER_SIGTERM_SECONDS", 0.0)
+    monkeypatch.setattr(shutdown, "FLUSH_SECONDS", 0.0)
     async with in_process_limiter(FakeServer("s-0")) as (proxy, listener):
         client = RawClient(listener)
         client.send(http_request()[:40])
-        await wait_until(lambda: listener.registry.partial)
-        draining = asyncio.create_task(__main__.drain(listener, proxy))
+        await wait_until(lambda: listener.registry.reading)
+        draining = asyncio.create_task(shutdown.shut_down_gracefully(listener, proxy))
         await wait_until(lambda: listener.socket.fileno() < 0, "listening has ended")
         client.send(http_request()[40:])
         assert (await client.response()).body == b"from s-0"
@@ -116,5 +116,5 @@
     """The platform kills 0.7 s after the longest deadline, and 3.7 s after SIGTERM at the latest."""
     classes = (RequestClass(100.0, 200.0), RequestClass(100.0, longest_deadline_ms))
     settings = Settings(limiter_index=0, limiter_count=1, request_classes=classes, plans=(QuotaPlan(),))
-    ends_after_seconds = __main__.shutdown_seconds(settings) + __main__.FLUSH_SECONDS
+    ends_after_seconds = shutdown.shutdown_seconds(settings) + shutdown.FLUSH_SECONDS
     assert kill_after_seconds - 0.3 < ends_after_seconds < kill_after_seconds
