--- a/limiter/policy/outlier_detection.py
+++ b/limiter/policy/outlier_detection.py
@@ -114,14 +114,6 @@
     ejection: Ejection | None = None
     pause: RejectionPause | None = None
 
-    def accepts_attempts(self, now: float) -> bool:
-        """Whether the server is not ejected, or due for the probe that may end its ejection."""
-        return self.ejection is None or self.ejection.accepts_probe(now)
-
-    def is_paused(self, now: float) -> bool:
-        """Whether the server rejected an attempt so recently that it gets none."""
-        return self.pause is not None and now < self.pause.ends_at
-
     def remaining_weight(self, now: float) -> float:
         """Return the weight that the record of this server still has against the mean of the fleet."""
         return decay_factor(now - self.last_outcome_at, RECORD_AGEING_MS)
--- a/limiter/policy/server_selection.py
+++ b/limiter/policy/server_selection.py
@@ -58,7 +58,12 @@
 
     def choose(self, now: float, request: OpenRequest) -> Server | None:
         """Return the server for the next attempt of a request; None where none may take it."""
-        candidates = [server for server in self._candidates(request) if not server.health.is_paused(now)]
+        # Both conditions stand here without a call, since they are asked of every candidate.
+        candidates = [
+            server
+            for server in self._candidates(request)
+            if server.health.pause is None or now >= server.health.pause.ends_at
+        ]
         untried = [server for server in candidates if server.endpoint.id not in request.attempts.tried]
         candidates = self._without_ejected(now, untried or candidates)
         candidates = self.slow_start.with_credit(now, candidates)
@@ -89,7 +94,11 @@
 
         Where most are ejected the fault is not theirs, and all are returned.
         """
-        healthy = [server for server in servers if server.health.accepts_attempts(now)]
+        healthy = [
+            server
+            for server in servers
+            if server.health.ejection is None or server.health.ejection.accepts_probe(now)
+        ]
         most_are_ejected = 2 * len(healthy) < len(servers)
         return servers if most_are_ejected else healthy
 
