--- a/limiter/simulator/adapter.py
+++ b/limiter/simulator/adapter.py
@@ -18,8 +18,9 @@
 from limiter.policy.engine import PolicyEngine
 from limiter.simulator.action_encoder import encode_action
 from limiter.simulator.errors import WireError
-from limiter.simulator.event_decoder import EventDecoder, InstanceClosed, InstanceOpened, UndecodedLoadReport
+from limiter.simulator.event_decoder import EventDecoder
 from limiter.simulator.frames import Batch, encode_reply, read_batch
+from limiter.simulator.records import InstanceClosed, InstanceOpened, UndecodedLoadReport
 
 
 class HostedLimiter:
--- a/limiter/simulator/event_decoder.py
+++ b/limiter/simulator/event_decoder.py
@@ -9,9 +9,7 @@
 
 import struct
 from collections.abc import Callable
-from dataclasses import dataclass
 from enum import IntEnum
-from typing import Any
 
 from limiter.model.events import (
     AttemptEnded,
@@ -22,7 +20,6 @@
     Endpoint,
     EndpointsChanged,
     EndpointState,
-    Event,
     GossipReceived,
     HealthCheckEnded,
     Outcome,
@@ -30,6 +27,8 @@
     TimerFired,
 )
 from limiter.simulator.errors import WireError, WireFault
+from limiter.simulator.record_reader import Pages, RecordReader
+from limiter.simulator.records import InstanceClosed, InstanceOpened, Record, UndecodedLoadReport
 
 
 class EventCode(IntEnum):
@@ -92,42 +91,8 @@
 _FLOATS = [struct.Struct(f">{count}f") for count in range(256)]
 
 
-@dataclass(frozen=True, slots=True)
-class InstanceOpened:
-    """An instance starts, with no state.
-
-    Attributes:
-        seed: Seed of its random draws.
-        settings_text: Its settings as `path=value` lines in UTF-8.
-    """
-
-    seed: int
-    settings_text: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class InstanceClosed:
-    """An instance has ended, and its state with it."""
-
-
-@dataclass(frozen=True, slots=True)
-class UndecodedLoadReport:
-    """An event whose load report can only be read with the field order in the instance's settings.
-
-    Attributes:
-        event: The event without its load report.
-        values: The values of the load report, in the order of the settings' `report.fields`.
-    """
-
-    event: AttemptEnded | HealthCheckEnded
-    values: tuple[float, ...]
-
-
-Record = InstanceOpened | InstanceClosed | UndecodedLoadReport | Event
 # The number of an instance, and the record that is addressed to it.
 AddressedRecord = tuple[int, Record]
-# Lists of endpoints by the number of their page.
-Pages = dict[int, tuple[Endpoint, ...]]
 
 
 class EventDecoder:
@@ -144,13 +109,12 @@
             WireError: the body is not exactly `record_count` well-formed records.
         """
         records: list[AddressedRecord] = []
-        reader = _RecordReader(body, self._pages)
+        reader = RecordReader(body, self._pages)
         start = 0
         try:
             for _ in range(record_count):
                 start = reader.offset
-                code = body[start]
-                reader.offset = start + 1
+                code = reader.read_code()
                 decode_record = _DECODERS.get(code)
                 if decode_record is None:
                     raise _unknown_code(code, "event code", f" at byte {start}")
@@ -166,38 +130,7 @@
         return records
 
 
-class _RecordReader:
-    """Reads the fields of records one after the other from the body of a batch.
-
-    Attributes:
-        offset: Byte of the body that is read next.
-        pages: The pages declared so far, which records refer to and add to.
-    """
-
-    __slots__ = ("_body", "offset", "pages")
-
-    def __init__(self, body: bytes, pages: Pages) -> None:
-        self._body = body
-        self.offset = 0
-        self.pages = pages
-
-    def read(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """Return the fields of a layout, whose types `struct` doesn't tell: each decoder names its fields."""
-        fields = layout.unpack_from(self._body, self.offset)
-        self.offset += layout.size
-        return fields
-
-    def read_bytes(self, length: int) -> bytes:
-        end = self.offset + length
-        if end > len(self._body):
-            message = f"record reaches to byte {end} of {len(self._body)}"
-            raise WireError(WireFault.TRUNCATED, message)
-        data = self._body[self.offset : end]
-        self.offset = end
-        return data
-
-
-def _decode_client_request(reader: _RecordReader) -> AddressedRecord:
+def _decode_client_request(reader: RecordReader) -> AddressedRecord:
     (
         instance,
         request_id,
@@ -224,7 +157,7 @@
     return instance, request
 
 
-def _decode_attempt_ended(reader: _RecordReader) -> AddressedRecord:
+def _decode_attempt_ended(reader: RecordReader) -> AddressedRecord:
     (
         instance,
         request_id,
@@ -252,49 +185,49 @@
     return instance, UndecodedLoadReport(event, reader.read(_FLOATS[load_value_count]))
 
 
-def _decode_health_check_ended(reader: _RecordReader) -> AddressedRecord:
+def _decode_health_check_ended(reader: RecordReader) -> AddressedRecord:
     instance, endpoint_id, outcome_code, latency, load_value_count = reader.read(_HEALTH_CHECK_ENDED)
     load_values = reader.read(_FLOATS[load_value_count])
     event = HealthCheckEnded(endpoint_id, _outcome(outcome_code), latency)
     return instance, UndecodedLoadReport(event, load_values)
 
 
-def _decode_timer_fired(reader: _RecordReader) -> AddressedRecord:
+def _decode_timer_fired(reader: RecordReader) -> AddressedRecord:
     instance, token = reader.read(_TIMER_FIRED)
     return instance, TimerFired(token)
 
 
-def _decode_counter_reply(reader: _RecordReader) -> AddressedRecord:
+def _decode_counter_reply(reader: RecordReader) -> AddressedRecord:
     instance, key, outcome_code, total, latency = reader.read(_COUNTER_REPLY)
     return instance, CounterReply(key, _outcome(outcome_code), total, latency)
 
 
-def _decode_client_disconnected(reader: _RecordReader) -> AddressedRecord:
+def _decode_client_disconnected(reader: RecordReader) -> AddressedRecord:
     instance, request_id = reader.read(_CLIENT_DISCONNECTED)
     return instance, ClientDisconnected(request_id)
 
 
-def _decode_stream_started(reader: _RecordReader) -> AddressedRecord:
+def _decode_stream_started(reader: RecordReader) -> AddressedRecord:
     instance, request_id, attempt, endpoint_id, latency = reader.read(_STREAM_STARTED)
     return instance, StreamStarted(request_id, attempt, endpoint_id, latency)
 
 
-def _decode_gossip_received(reader: _RecordReader) -> AddressedRecord:
+def _decode_gossip_received(reader: RecordReader) -> AddressedRecord:
     instance, sender, length = reader.read(_GOSSIP_RECEIVED)
     return instance, GossipReceived(sender, reader.read_bytes(length))
 
 
-def _decode_instance_opened(reader: _RecordReader) -> AddressedRecord:
+def _decode_instance_opened(reader: RecordReader) -> AddressedRecord:
     instance, seed, length = reader.read(_INSTANCE_OPENED)
     return instance, InstanceOpened(seed, reader.read_bytes(length))
 
 
-def _decode_instance_closed(reader: _RecordReader) -> AddressedRecord:
+def _decode_instance_closed(reader: RecordReader) -> AddressedRecord:
     (instance,) = reader.read(_INSTANCE_CLOSED)
     return instance, InstanceClosed()
 
 
-def _decode_endpoints_changed(reader: _RecordReader) -> AddressedRecord:
+def _decode_endpoints_changed(reader: RecordReader) -> AddressedRecord:
     instance, form, _revision, page = reader.read(_ENDPOINTS_CHANGED)
     if form > RegistryForm.FAILED:
         raise _unknown_code(form, "registry form")
@@ -311,7 +244,7 @@
     return instance, event
 
 
-def _decode_endpoint_page(reader: _RecordReader) -> None:
+def _decode_endpoint_page(reader: RecordReader) -> None:
     """Declare a page; a page declared earlier under its number is replaced."""
     page, entry_count = reader.read(_ENDPOINT_PAGE)
     entries = reader.read_bytes(entry_count * ENDPOINT_ENTRY.size)
@@ -340,7 +273,7 @@
 
 
 # Decoders by code. Each record of a run is decoded by one look-up here, not by a chain of comparisons.
-_DECODERS: dict[int, Callable[[_RecordReader], AddressedRecord | None]] = {
+_DECODERS: dict[int, Callable[[RecordReader], AddressedRecord | None]] = {
     EventCode.CLIENT_DISCONNECTED: _decode_client_disconnected,
     EventCode.ENDPOINTS_CHANGED: _decode_endpoints_changed,
     EventCode.HEALTH_CHECK_ENDED: _decode_health_check_ended,
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -36,7 +36,8 @@
     TimerFired,
 )
 from limiter.simulator.action_encoder import encode_action
-from limiter.simulator.event_decoder import EventDecoder, InstanceClosed, Record, UndecodedLoadReport
+from limiter.simulator.event_decoder import EventDecoder
+from limiter.simulator.records import InstanceClosed, Record, UndecodedLoadReport
 from tests.support.simulator_frames import SERVER, endpoint_page, registry
 
 CLIENT_REQUEST_FRAME = "1400035d3a91c4000140000000000091f03b7c55d20a6400404000003f80000040c0e62000000000"
