--- a/limiter/policy/admission.py
+++ b/limiter/policy/admission.py
@@ -13,7 +13,7 @@
 from limiter.model.events import ClientRequest, CounterReply, Outcome
 from limiter.policy.admission_rules import AdmissionRules, Verdict
 from limiter.policy.attempt_dispatch import AttemptDispatcher
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 from limiter.policy.customer import Customer
 from limiter.policy.customer_housekeeping import CustomerHousekeeping
 from limiter.policy.customer_registry import CustomerRegistry
@@ -48,7 +48,7 @@
         housekeeping: Customers to look at again.
     """
 
-    context: PolicyContext
+    context: EngineContext
     customers: CustomerRegistry
     sampler: UsageSampler
     gossip: UsageGossip
--- a/limiter/policy/admission_rules.py
+++ b/limiter/policy/admission_rules.py
@@ -8,7 +8,7 @@
 from enum import Enum, auto
 
 from limiter.policy.concurrency_limit import ConcurrencyLimit
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 from limiter.policy.customer import Customer
 from limiter.policy.customer_registry import CustomerRegistry
 from limiter.policy.open_request import OpenRequest
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        context: PolicyContext,
+        context: EngineContext,
         customers: CustomerRegistry,
         gossip: UsageGossip,
         outliers: OutlierDetector,
--- a/limiter/policy/attempt_dispatch.py
+++ b/limiter/policy/attempt_dispatch.py
@@ -10,7 +10,7 @@
 from limiter.model.events import NEVER_RAN, AttemptEnded, ClientDisconnected, Outcome, StreamStarted
 from limiter.model.settings import Idempotency
 from limiter.policy.concurrency_limit import ConcurrencyLimit
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 from limiter.policy.customer_registry import CustomerRegistry
 from limiter.policy.open_request import OpenRequest
 from limiter.policy.server_selection import ServerSelector
@@ -78,7 +78,7 @@
         retry_budget: Retries that may be made.
     """
 
-    context: PolicyContext
+    context: EngineContext
     customers: CustomerRegistry
     selector: ServerSelector
     limit: ConcurrencyLimit
--- a/limiter/policy/concurrency_limit.py
+++ b/limiter/policy/concurrency_limit.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 
 from limiter.model.settings import Settings
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 from limiter.policy.server_selection import ServerSelector
 from limiter.policy.smoothing import clamp, ewma_step, ewma_step_or_first, weight_of_newest
-from limiter.policy.throttle import EWMA_WEIGHT, TARGET_UTILIZATION, UPDATE_INTERVAL_MS, clamped
+from limiter.policy.throttle import EWMA_WEIGHT, TARGET_UTILIZATION, UPDATE_INTERVAL_MS, clamp_probability
 from limiter.policy.usage_gossip import UsageGossip
 
 # Waiting that counts as full load, as a share of the tightest objective beyond the idle latency; and the
@@ -78,7 +78,7 @@
         idle_latency: The least mean latency, forgotten slowly; 0 until an attempt has succeeded.
     """
 
-    context: PolicyContext
+    context: EngineContext
     selector: ServerSelector
     gossip: UsageGossip
     in_flight: int = 0
@@ -133,7 +133,7 @@
 
     def admission_probability(self) -> float:
         """Return the probability with which a request is admitted: 1 up to half the limit, then falling."""
-        return clamped(2 - 2 * self.mean_in_flight() / max(self.max_in_flight, MIN_DIVISOR))
+        return clamp_probability(2 - 2 * self.mean_in_flight() / max(self.max_in_flight, MIN_DIVISOR))
 
     def update(self, now: float) -> None:
         """Work out the limit anew, and begin the next interval."""
--- a/limiter/policy/context.py
+++ b/limiter/policy/context.py
@@ -24,7 +24,7 @@
     DISCOVERY_GOSSIP = 3
 
 
-class PolicyContext:
+class EngineContext:
     """Shared by the parts of one policy engine.
 
     Attributes:
--- a/limiter/policy/customer_housekeeping.py
+++ b/limiter/policy/customer_housekeeping.py
@@ -7,7 +7,7 @@
 
 import math
 
-from limiter.policy.context import PolicyContext, Timer
+from limiter.policy.context import EngineContext, Timer
 from limiter.policy.customer import Customer
 
 # A round may begin this much early: the timer of an earlier round may fire a rounding error before its time.
@@ -17,7 +17,7 @@
 class CustomerHousekeeping:
     """The customers to look at again, and the one timer for all of them."""
 
-    def __init__(self, context: PolicyContext) -> None:
+    def __init__(self, context: EngineContext) -> None:
         """Start without a customer to look at."""
         self._context = context
         self._pending: dict[int, Customer] = {}
--- a/limiter/policy/customer_registry.py
+++ b/limiter/policy/customer_registry.py
@@ -10,7 +10,7 @@
 
 from limiter.model.events import AttemptEnded, ClientRequest
 from limiter.policy import throttle
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 from limiter.policy.customer import Customer, CustomerTable
 from limiter.policy.gossiped_usage import FORGET_AFTER_MS
 from limiter.policy.local_share import LocalShare
@@ -47,7 +47,7 @@
 class CustomerRegistry:
     """The customers with recent requests, and how their plans' customers fared."""
 
-    def __init__(self, context: PolicyContext) -> None:
+    def __init__(self, context: EngineContext) -> None:
         """Start without customers."""
         self._context = context
         settings = context.settings
--- a/limiter/policy/discovery_backoff.py
+++ b/limiter/policy/discovery_backoff.py
@@ -13,7 +13,7 @@
 from limiter.codecs.gossip_messages import decode_report, encode_report, is_report
 from limiter.model.actions import BroadcastGossip, PollDiscovery
 from limiter.model.events import DiscoveryPollFailed, EndpointId, EndpointsChanged, EndpointState
-from limiter.policy.context import PolicyContext, Timer
+from limiter.policy.context import EngineContext, Timer
 from limiter.policy.server_table import ServerTable
 from limiter.policy.smoothing import clamp
 
@@ -53,7 +53,7 @@
 class DiscoveryBackoff:
     """When discovery is polled after a failed poll, and what limiters announce of their polls and answers."""
 
-    def __init__(self, context: PolicyContext, servers: ServerTable, may_gossip: bool) -> None:
+    def __init__(self, context: EngineContext, servers: ServerTable, may_gossip: bool) -> None:
         """Start with a stale list, as if a poll had failed.
 
         Args:
--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -15,7 +15,7 @@
 from limiter.policy.admission_rules import AdmissionRules
 from limiter.policy.attempt_dispatch import AttemptDispatcher
 from limiter.policy.concurrency_limit import ConcurrencyLimit, unseen_load_share
-from limiter.policy.context import PolicyContext, Timer
+from limiter.policy.context import EngineContext, Timer
 from limiter.policy.customer_housekeeping import CustomerHousekeeping
 from limiter.policy.customer_registry import CustomerRegistry
 from limiter.policy.discovery_backoff import DiscoveryBackoff
@@ -42,7 +42,7 @@
             SettingsError: The settings cannot be used.
         """
         validate_settings(settings)
-        context = self.context = PolicyContext(settings, seed)
+        context = self.context = EngineContext(settings, seed)
         self._is_started = False
         self.gossip = UsageGossip(context)
         self.outliers = OutlierDetector(context)
@@ -55,7 +55,7 @@
         self.admission = self._make_admission(context)
         self.discovery = DiscoveryBackoff(context, self.selector.table, self.gossip.is_enabled)
 
-    def _make_admission(self, context: PolicyContext) -> AdmissionController:
+    def _make_admission(self, context: EngineContext) -> AdmissionController:
         housekeeping = CustomerHousekeeping(context)
         return AdmissionController(
             context=context,
--- a/limiter/policy/held_requests.py
+++ b/limiter/policy/held_requests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limiter.policy.attempt_dispatch import AttemptDispatcher
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 from limiter.policy.customer import Customer
 from limiter.policy.customer_housekeeping import CustomerHousekeeping
 from limiter.policy.open_request import OpenRequest
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        context: PolicyContext,
+        context: EngineContext,
         sampler: UsageSampler,
         attempts: AttemptDispatcher,
         housekeeping: CustomerHousekeeping,
--- a/limiter/policy/outlier_detection.py
+++ b/limiter/policy/outlier_detection.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from limiter.model.events import AttemptEnded, Outcome
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 from limiter.policy.smoothing import decay_factor, ewma_step, ewma_step_or_first
 from limiter.policy.throttle import SAMPLE_INTERVAL_MS
 
@@ -194,7 +194,7 @@
         mean_latency: Moving average of the latency over all servers; 0 until one was measured.
     """
 
-    context: PolicyContext
+    context: EngineContext
     mean_latency: float = 0.0
 
     def record_outcome(self, now: float, health: ServerHealth, ended: AttemptEnded) -> bool:
--- a/limiter/policy/sampled_usage.py
+++ b/limiter/policy/sampled_usage.py
@@ -197,7 +197,7 @@
         updates = min(elapsed / throttle.UPDATE_INTERVAL_MS, MAX_UPDATES_OF_ONE_TOTAL)
         utilization = max(self.utilization, MIN_UTILIZATION_OF_ONE_TOTAL)
         factor = (throttle.TARGET_UTILIZATION / utilization) ** updates
-        self.probability = throttle.clamped(self.probability * factor)
+        self.probability = throttle.clamp_probability(self.probability * factor)
 
     def time_until_available(self, units: float, plan: QuotaPlan, limiter_set_size: float) -> float:
         """Return the milliseconds until the bucket holds so many units, if the others go on as of late."""
--- a/limiter/policy/server_selection.py
+++ b/limiter/policy/server_selection.py
@@ -9,7 +9,7 @@
 
 from limiter.model.events import EndpointsChanged
 from limiter.model.settings import DedupScope, Idempotency
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 from limiter.policy.open_request import OpenRequest
 from limiter.policy.outlier_detection import OutlierDetector
 from limiter.policy.server_table import Server, ServerTable
@@ -46,7 +46,7 @@
         table: The servers.
     """
 
-    context: PolicyContext
+    context: EngineContext
     outliers: OutlierDetector
     slow_start: SlowStart
     table: ServerTable = field(default_factory=ServerTable)
--- a/limiter/policy/slow_start.py
+++ b/limiter/policy/slow_start.py
@@ -14,7 +14,7 @@
 from typing import Protocol, TypeVar
 
 from limiter.model.events import Endpoint
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 
 # Share of a warming server's overload allowance that its even share of attempts may fill. The rest is
 # room for chance: the limiters do not know of each other's attempts.
@@ -78,7 +78,7 @@
             spread evenly.
     """
 
-    context: PolicyContext
+    context: EngineContext
     unseen_load_share: float
     fleet_capacity: float = 1.0
     even_share: float = 0.0
--- a/limiter/policy/throttle.py
+++ b/limiter/policy/throttle.py
@@ -5,18 +5,29 @@
 multiplied by target / utilization (phi) and clamped. Types: limiter/model. Times are milliseconds.
 """
 
-TARGET_UTILIZATION = 0.95  # rho_target
-MIN_PROBABILITY = 0.01  # p_min
-SAMPLE_INTERVAL_MS = 200.0  # T_m, least time between two samples
-UPDATE_INTERVAL_MS = 400.0  # T_f, least time between two updates
-EWMA_WEIGHT = 0.8  # w, of the newest sample
+# Utilization that the throttle steers a customer towards; rho_target of the paper.
+TARGET_UTILIZATION = 0.95
+# Least admission probability, so that the use of a rejected customer goes on being measured; p_min.
+MIN_PROBABILITY = 0.01
+# Least time between two samples of the utilization; T_m.
+SAMPLE_INTERVAL_MS = 200.0
+# Least time between two updates of the admission probability; T_f.
+UPDATE_INTERVAL_MS = 400.0
+# Weight of the newest sample in the utilization; w.
+EWMA_WEIGHT = 0.8
 
 
-def clamped(probability: float, least: float = MIN_PROBABILITY) -> float:
-    """The nearest value from `least` to 1."""
-    return min(1.0, max(least, probability))
+def clamp_probability(probability: float, minimum: float = MIN_PROBABILITY) -> float:
+    """Return the value from `minimum` to 1 that is nearest to `probability`."""
+    return min(1.0, max(minimum, probability))
 
 
 def updated_probability(probability: float, utilization: float, target: float = TARGET_UTILIZATION) -> float:
-    """The admission probability after one reading of the utilization."""
-    return clamped(probability * target / max(utilization, 1e-6))
+    """Return the admission probability after one reading of the utilization.
+
+    Args:
+        probability: The admission probability before it.
+        utilization: The reading, as a share of the quota.
+        target: Utilization to steer towards.
+    """
+    return clamp_probability(probability * target / max(utilization, 1e-6))
--- a/limiter/policy/usage_gossip.py
+++ b/limiter/policy/usage_gossip.py
@@ -13,7 +13,7 @@
 from limiter.codecs.gossip_messages import UsageWriter, decode_usage
 from limiter.model.actions import BroadcastGossip
 from limiter.model.events import ClientRequest
-from limiter.policy.context import PolicyContext, Timer
+from limiter.policy.context import EngineContext, Timer
 from limiter.policy.gossiped_usage import GossipedUsage, GossipedUsageTable
 from limiter.policy.peer_load import PeerLoad
 from limiter.policy.throttle import UPDATE_INTERVAL_MS
@@ -55,7 +55,7 @@
         last_message_at: Time of the last message received; minus infinity before the first one.
     """
 
-    def __init__(self, context: PolicyContext) -> None:
+    def __init__(self, context: EngineContext) -> None:
         """Start with nothing to send and nothing received."""
         settings = context.settings
         peers = settings.limiter_count - 1
--- a/limiter/policy/usage_sampling.py
+++ b/limiter/policy/usage_sampling.py
@@ -12,7 +12,7 @@
 from limiter.model.events import CounterReply, Outcome
 from limiter.model.settings import QuotaPlan
 from limiter.policy import throttle
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 from limiter.policy.customer import Customer
 from limiter.policy.customer_registry import CustomerRegistry
 from limiter.policy.smoothing import clamp
@@ -55,7 +55,7 @@
         call_probability: Probability with which a call that is wanted is made.
     """
 
-    def __init__(self, context: PolicyContext, customers: CustomerRegistry, gossip: UsageGossip) -> None:
+    def __init__(self, context: EngineContext, customers: CustomerRegistry, gossip: UsageGossip) -> None:
         """Start without a call in flight.
 
         Args:
@@ -178,7 +178,7 @@
         full_load = FULL_LOAD_SHARE * (timeout - best_latency)
         load = (latency - best_latency) / max(full_load, 1e-6)
         step = clamp(throttle.TARGET_UTILIZATION / max(load, 1e-6), 1 / MAX_CALL_STEP, MAX_CALL_STEP)
-        self.call_probability = throttle.clamped(self.call_probability * step, MIN_CALL_PROBABILITY)
+        self.call_probability = throttle.clamp_probability(self.call_probability * step, MIN_CALL_PROBABILITY)
 
     def _record_latency(self, latency: float) -> None:
         if self._best_latency:
--- a/tests/policy/test_discovery_backoff.py
+++ b/tests/policy/test_discovery_backoff.py
@@ -15,7 +15,7 @@
     EndpointState,
     GossipReceived,
 )
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 from limiter.policy.discovery_backoff import MAX_COPIES, DiscoveryBackoff
 from limiter.policy.server_table import ServerTable
 from tests.support.policy_driver import (
@@ -39,7 +39,7 @@
 
 def make_backoff(listed: Iterable[Endpoint] = ()) -> DiscoveryBackoff:
     """The backoff of one limiter without an engine around it, whose endpoint list has these servers."""
-    context = PolicyContext(settings(limiter_count=40, polls_discovery=True), seed=1)
+    context = EngineContext(settings(limiter_count=40, polls_discovery=True), seed=1)
     servers = ServerTable()
     servers.update(EndpointsChanged(tuple(listed), is_full_list=True))
     return DiscoveryBackoff(context, servers, may_gossip=True)
--- a/tests/policy/test_usage_gossip.py
+++ b/tests/policy/test_usage_gossip.py
@@ -8,7 +8,7 @@
 from limiter.model.actions import BroadcastGossip, RejectRequest
 from limiter.model.events import GossipReceived, Outcome
 from limiter.model.settings import QuotaPlan, Settings
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 from limiter.policy.gossiped_usage import FORGET_AFTER_MS
 from limiter.policy.usage_gossip import INTAKE_SHARE, MAX_INTERVALS_WITHOUT_MESSAGE, UsageGossip
 from tests.support.policy_driver import PolicyDriver, make_driver, settings
@@ -30,7 +30,7 @@
 
 def make_gossip(limiters: int = LIMITERS, **changes: object) -> UsageGossip:
     """The gossip of one limiter, without an engine around it."""
-    return UsageGossip(PolicyContext(gossip_settings(limiters, **changes), seed=1))
+    return UsageGossip(EngineContext(gossip_settings(limiters, **changes), seed=1))
 
 
 def make_limiter(seed: int = 1, limiters: int = LIMITERS) -> PolicyDriver:
--- a/tests/scale/test_process_emulated_peers.py
+++ b/tests/scale/test_process_emulated_peers.py
@@ -17,7 +17,7 @@
 from limiter.configuration.config_parser import parse
 from limiter.model.events import Endpoint, EndpointState
 from limiter.model.settings import Settings
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 from limiter.policy.usage_gossip import UsageGossip
 from limiter.transport.discovery.endpoint_list import NameNumbering, parse_endpoint_list
 from scale.process.counter import Counter
@@ -113,7 +113,7 @@
 
 def test_a_gossip_message_is_read_as_the_policy_engine_reads_it() -> None:
     settings = limiter_settings(3)
-    gossip = UsageGossip(PolicyContext(settings, seed=1))
+    gossip = UsageGossip(EngineContext(settings, seed=1))
     customers = [3, 4, 5, 2**33 - 1]
     gossip.receive(0.0, gossip_message(Random(1), customers))
     assert set(gossip.usage.records) == set(customers)
