--- a/limiter/policy/admission.py
+++ b/limiter/policy/admission.py
@@ -32,7 +32,7 @@
 MIN_ADMIT_SHARE_TO_REPORT_AHEAD = 0.5
 
 
-@dataclass
+@dataclass(eq=False)
 class AdmissionController:
     """Decides on each new request.
 
@@ -66,7 +66,7 @@
         self.customers.advance(customer, now)
         self.attempts.retry_budget.earn()
         open_request = self._open(now, request, customer)
-        if not self.customers.is_widely_shared(customer):
+        if not customer.is_widely_shared:
             self._decide(now, open_request, has_sample=True)
         elif self.gossip.is_fresh(now):
             self._decide_by_gossip(now, open_request)
@@ -203,7 +203,7 @@
         customer.record_forwarded(request.units, within_quota=admission.within_quota)
         customer.report.add(request.units * admission.report_weight - admission.reserved_units)
         is_limited_by_concurrency = customer.plan.rate <= 0 < customer.plan.max_concurrency
-        if is_limited_by_concurrency or self.customers.is_widely_shared(customer):
+        if is_limited_by_concurrency or customer.is_widely_shared:
             self.gossip.record_forwarded(now, request.customer, request.plan, request.units)
 
     def _reject(self, open_request: OpenRequest) -> None:
--- a/limiter/policy/admission_notes.py
+++ b/limiter/policy/admission_notes.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class AdmissionNotes:
     """The part of an open request that admission owns.
 
--- a/limiter/policy/admission_rules.py
+++ b/limiter/policy/admission_rules.py
@@ -81,7 +81,7 @@
         within_quota = self._is_within_quota(now, request, has_sample)
         request.admission.record_quota(within_quota=within_quota)
         passes = within_quota or (has_sample and self._passes_draw(request))
-        if has_sample and self._customers.is_widely_shared(request.customer):
+        if has_sample and request.customer.is_widely_shared:
             self._record_decision(request, passes)
         return passes
 
--- a/limiter/policy/attempt_dispatch.py
+++ b/limiter/policy/attempt_dispatch.py
@@ -44,7 +44,7 @@
     HARMFUL = auto()  # It may run twice, and nobody would notice.
 
 
-@dataclass
+@dataclass(eq=False)
 class RetryBudget:
     """Retries that may be made: each request earns a part of one."""
 
@@ -64,7 +64,7 @@
         self.retries -= 1
 
 
-@dataclass
+@dataclass(eq=False)
 class AttemptDispatcher:
     """Owns the open requests and the retry budget: sends attempts, and ends the requests.
 
--- a/limiter/policy/attempts_in_flight.py
+++ b/limiter/policy/attempts_in_flight.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class AttemptsInFlight:
     """The attempts in flight to one server.
 
--- a/limiter/policy/concurrency_limit.py
+++ b/limiter/policy/concurrency_limit.py
@@ -56,7 +56,7 @@
     return max(0.0, 1 - INITIAL_PER_SERVER / settings.limiter_count)
 
 
-@dataclass
+@dataclass(eq=False)
 class ConcurrencyLimit:
     """Counts the attempts in flight from here and limits them while the fleet is under pressure.
 
--- a/limiter/policy/customer.py
+++ b/limiter/policy/customer.py
@@ -16,7 +16,7 @@
 from limiter.policy.usage_report import UsageReport
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Customer:
     """A customer with recent requests.
 
@@ -26,6 +26,8 @@
         limiter_set_size: Limiters that may get its requests.
         usage: Its token bucket and admission probability, rebuilt from samples.
         local_share: This limiter's even parts of its quota.
+        is_widely_shared: Whether a limiter's even part of the burst is under one request, so that this one
+            sees too few of its requests to know its use.
         admit_share: Share of its requests that were admitted, among those that a sample decided; a moving
             average.
         report: Its use on the way to the counter.
@@ -37,6 +39,7 @@
     key: int
     plan: QuotaPlan
     limiter_set_size: float
+    is_widely_shared: bool
     usage: SampledUsage
     local_share: LocalShare
     admit_share: float
@@ -58,10 +61,11 @@
         """Note the time of a request."""
         self.last_seen_at = now
 
-    def change_plan(self, plan: QuotaPlan, limiter_set_size: float) -> None:
+    def change_plan(self, plan: QuotaPlan, limiter_set_size: float, *, is_widely_shared: bool) -> None:
         """Go on under another plan, or in another set of limiters."""
         self.plan = plan
         self.limiter_set_size = limiter_set_size
+        self.is_widely_shared = is_widely_shared
         self.local_share.change_plan(plan, limiter_set_size)
 
     def record_decision(self, weight: float, *, is_admitted: bool) -> None:
--- a/limiter/policy/customer_registry.py
+++ b/limiter/policy/customer_registry.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 
 from limiter.model.events import AttemptEnded, ClientRequest
+from limiter.model.settings import QuotaPlan
 from limiter.policy import throttle
 from limiter.policy.context import EngineContext
 from limiter.policy.customer import Customer, CustomerTable
@@ -23,7 +24,7 @@
 MAX_FAILED_CALLS = 1
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class PlanHistory:
     """How a plan's customers were decided on of late: a new customer of the plan begins there.
 
@@ -64,7 +65,8 @@
         if customer is None:
             customer = self._new_customer(now, request, limiter_set_size)
         elif customer.limiter_set_size != limiter_set_size or customer.plan is not plan:
-            customer.change_plan(plan, limiter_set_size)
+            is_widely_shared = self._is_widely_shared(plan, limiter_set_size)
+            customer.change_plan(plan, limiter_set_size, is_widely_shared=is_widely_shared)
         self.table.put(customer, now)
         return customer
 
@@ -78,6 +80,7 @@
             key=request.customer,
             plan=plan,
             limiter_set_size=limiter_set_size,
+            is_widely_shared=self._is_widely_shared(plan, limiter_set_size),
             usage=SampledUsage(
                 tokens=plan.burst / limiter_set_size,
                 refilled_at=now,
@@ -89,10 +92,9 @@
             admit_share=history.admit_share,
         )
 
-    def is_widely_shared(self, customer: Customer) -> bool:
+    def _is_widely_shared(self, plan: QuotaPlan, limiter_set_size: float) -> bool:
         """Whether a limiter's even part of the burst is under one request: it sees too few to go by."""
-        plan = customer.plan
-        return self.uses_counter and 0 < plan.burst < customer.limiter_set_size and plan.rate > 0
+        return self.uses_counter and 0 < plan.burst < limiter_set_size and plan.rate > 0
 
     def lacks_samples(self, customer: Customer, now: float) -> bool:
         """Whether a sample is missing or late, whatever the cause, so that the even split stands for it."""
@@ -103,7 +105,7 @@
         is_overdue = wanted_since is not None and now - wanted_since > OVERDUE_MS
         if not is_overdue and report.failed_calls <= MAX_FAILED_CALLS:
             return False
-        return not self.is_widely_shared(customer)
+        return not customer.is_widely_shared
 
     def advance(self, customer: Customer, now: float) -> None:
         """Bring the customer's buckets to `now`."""
--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -65,7 +65,7 @@
             rules=AdmissionRules(context, self.customers, self.gossip, self.outliers, self.limit),
             attempts=self.attempts,
             held=HeldRequests(context, self.sampler, self.attempts, housekeeping),
-            reporter=UsageReporter(self.customers, self.sampler, housekeeping),
+            reporter=UsageReporter(self.sampler, housekeeping),
             housekeeping=housekeeping,
         )
 
--- a/limiter/policy/gossiped_usage.py
+++ b/limiter/policy/gossiped_usage.py
@@ -19,7 +19,7 @@
 FORGET_AFTER_MS = 60000.0
 
 
-@dataclass(slots=True, kw_only=True)
+@dataclass(slots=True, kw_only=True, eq=False)
 class GossipedUsage(QuotaUsage):
     """The use of one customer through all limiters, as far as their gossip and the own requests tell.
 
--- a/limiter/policy/local_share.py
+++ b/limiter/policy/local_share.py
@@ -14,7 +14,7 @@
 MAX_FALLBACK_TOKENS = 1.0
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class LocalShare:
     """Two token buckets of one customer that fill with this limiter's even part.
 
--- a/limiter/policy/open_request.py
+++ b/limiter/policy/open_request.py
@@ -25,7 +25,7 @@
     sent_at: float
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class RequestAttempts:
     """The attempts of one request.
 
@@ -65,7 +65,7 @@
         self.is_streaming = True
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class OpenRequest:
     """A client's request until its final response is out and no attempt is in flight.
 
--- a/limiter/policy/outlier_detection.py
+++ b/limiter/policy/outlier_detection.py
@@ -52,7 +52,7 @@
 UNINFORMATIVE = (Outcome.CANCELLED, Outcome.REQUEST_OVER, Outcome.REJECTED)
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Ejection:
     """The ejection of a server that fails too often.
 
@@ -80,7 +80,7 @@
         self.probe_in_flight = False
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class RejectionPause:
     """The pause of a server that rejected an attempt.
 
@@ -97,7 +97,7 @@
         self.next_length = FIRST_PAUSE_MS
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class ServerHealth:
     """What the outcomes of attempts say of one server.
 
@@ -187,7 +187,7 @@
             self.ejection.end_probe()
 
 
-@dataclass
+@dataclass(eq=False)
 class OutlierDetector:
     """Judges servers by how attempts end.
 
--- a/limiter/policy/quota_usage.py
+++ b/limiter/policy/quota_usage.py
@@ -12,7 +12,7 @@
 from limiter.policy.throttle import updated_probability
 
 
-@dataclass(slots=True, kw_only=True)
+@dataclass(slots=True, kw_only=True, eq=False)
 class QuotaUsage:
     """A token bucket with the utilization and the admission probability of one customer.
 
--- a/limiter/policy/sampled_usage.py
+++ b/limiter/policy/sampled_usage.py
@@ -31,7 +31,7 @@
     return plan.rate / 1000 * (limiter_set_size - 1) / limiter_set_size
 
 
-@dataclass(slots=True, kw_only=True)
+@dataclass(slots=True, kw_only=True, eq=False)
 class SampledUsage(QuotaUsage):
     """The token bucket of one customer, and what samples say of its use through the other limiters.
 
@@ -63,7 +63,9 @@
     def advance(self, elapsed: float, plan: QuotaPlan) -> None:
         """Fill the bucket for the time since it was last filled, less the estimated use of the others."""
         remote_rate = self.remote_rate
-        self.refill(plan.rate / 1000 - remote_rate, elapsed, plan.burst)
+        # What `refill` does, written out, since this runs for each request and each end of an attempt.
+        filled = self.tokens + (plan.rate / 1000 - remote_rate) * elapsed
+        self.tokens = min(plan.burst, max(0.0, filled))
         self.expected_remote_units += remote_rate * elapsed
         self.refilled_at += elapsed
 
--- a/limiter/policy/server_selection.py
+++ b/limiter/policy/server_selection.py
@@ -35,7 +35,7 @@
 MIN_SUCCESS_RATE = 0.05
 
 
-@dataclass
+@dataclass(eq=False)
 class ServerSelector:
     """Chooses among the servers that are ready.
 
--- a/limiter/policy/server_table.py
+++ b/limiter/policy/server_table.py
@@ -16,7 +16,7 @@
 from limiter.policy.slow_start import SlowStartCredit
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Server:
     """A server, one process from its start to its end.
 
--- a/limiter/policy/slow_start.py
+++ b/limiter/policy/slow_start.py
@@ -25,7 +25,7 @@
 MIN_EVEN_SHARE = 2.0
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class SlowStartCredit:
     """Attempts that one server may get from here while it warms up.
 
@@ -64,7 +64,7 @@
 AnyServer = TypeVar("AnyServer", bound=StartingServer)
 
 
-@dataclass
+@dataclass(eq=False)
 class SlowStart:
     """The slow start of all servers.
 
--- a/limiter/policy/smoothing.py
+++ b/limiter/policy/smoothing.py
@@ -27,7 +27,7 @@
         sample: The newest sample, in the unit of the average.
         weight: Share of the sample in the new average, from 0 to 1.
     """
-    return ewma_step(average, sample, weight) if average else sample
+    return average + weight * (sample - average) if average else sample
 
 
 def decay_factor(elapsed: float, time_constant: float) -> float:
--- a/limiter/policy/usage_report.py
+++ b/limiter/policy/usage_report.py
@@ -41,7 +41,7 @@
     start: float
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class UsageReport:
     """The units of one customer on their way to the counter.
 
--- a/limiter/policy/usage_reporting.py
+++ b/limiter/policy/usage_reporting.py
@@ -4,7 +4,6 @@
 
 from limiter.policy.customer import Customer
 from limiter.policy.customer_housekeeping import CustomerHousekeeping
-from limiter.policy.customer_registry import CustomerRegistry
 from limiter.policy.open_request import OpenRequest
 from limiter.policy.usage_sampling import UsageSampler
 
@@ -24,24 +23,20 @@
     Use of widely shared customers is reported with the requests that are held for the reply, or by gossip.
     """
 
-    def __init__(
-        self, customers: CustomerRegistry, sampler: UsageSampler, housekeeping: CustomerHousekeeping
-    ) -> None:
+    def __init__(self, sampler: UsageSampler, housekeeping: CustomerHousekeeping) -> None:
         """Start without use to report.
 
         Args:
-            customers: The customers whose use is reported.
             sampler: Makes the calls to the counter.
             housekeeping: Looks at customers again whose use waits for its call.
         """
-        self._customers = customers
         self._sampler = sampler
         self._housekeeping = housekeeping
 
     def report(self, now: float, request: OpenRequest, *, is_admitted: bool) -> None:
         """Report the use after a decision: at once where the quota is nearly used, else some time later."""
         customer = request.customer
-        if self._customers.is_widely_shared(customer):
+        if customer.is_widely_shared:
             return
         is_urgent = is_admitted and self._is_near_quota(customer)
         if is_urgent or not request.admission.within_quota:
@@ -70,4 +65,4 @@
     def has_use_to_report(self, customer: Customer) -> bool:
         """Whether use of the customer waits for its call."""
         has_use = bool(customer.report.unreported_units)
-        return has_use and not self._customers.is_widely_shared(customer)
+        return has_use and not customer.is_widely_shared
--- a/limiter/policy/usage_sampling.py
+++ b/limiter/policy/usage_sampling.py
@@ -88,7 +88,7 @@
         self._sample_by_even_split(now, customer)
         report = customer.report
         report.want_sample(now)
-        is_widely_shared = self._customers.is_widely_shared(customer)
+        is_widely_shared = customer.is_widely_shared
         is_early = now < report.next_call_at and not is_widely_shared
         if not self._customers.uses_counter or report.is_call_in_flight or is_early:
             return False
@@ -136,7 +136,7 @@
 
     def _epoch_length(self, customer: Customer) -> float:
         """Return how long one key counts; all limiters with the same settings derive the same."""
-        if not self._customers.is_widely_shared(customer):
+        if not customer.is_widely_shared:
             return MAX_EPOCH_MS
         plan = customer.plan
         if customer.report.counts_slot:
@@ -160,7 +160,7 @@
             # A sample is missing, whatever the cause: the even split or the probability stands for it.
             report.mark_call_failed(added, is_uncertain=reply.outcome is Outcome.TIMEOUT)
             return customer
-        if self._customers.is_widely_shared(customer):
+        if customer.is_widely_shared:
             self._record_total(now, customer, reply.total - report.reserved_units)
         else:
             self._record_growth(now, customer, reply.total, added)
