--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -69,7 +69,7 @@
             housekeeping=housekeeping,
         )
 
-    def handle(self, now: float, event: events.Event) -> list[Action]:
+    def handle(self, now: float, event: events.Event) -> list[Action]:  # noqa: C901 - one case for each event
         """Decide what an event leads to.
 
         Args:
@@ -82,18 +82,7 @@
         if not self._is_started:
             self._start(now)
         self.limit.advance(now)
-        self._dispatch(now, event)
-        return self.context.take_actions()
-
-    def _start(self, now: float) -> None:
-        """Begin with the first event."""
-        self._is_started = True
-        self.context.start(now)
-        self.limit.start(now)
-        self.discovery.start()
-
-    def _dispatch(self, now: float, event: events.Event) -> None:  # noqa: C901 - one case for each event
-        """Hand an event to the part that it concerns, the most frequent kinds first."""
+        # The most frequent kinds of events come first.
         match event:
             case events.ClientRequest():
                 self.admission.handle_request(now, event)
@@ -117,6 +106,14 @@
                 pass  # no health check is ever sent
             case _:
                 assert_never(event)
+        return self.context.take_actions()
+
+    def _start(self, now: float) -> None:
+        """Begin with the first event."""
+        self._is_started = True
+        self.context.start(now)
+        self.limit.start(now)
+        self.discovery.start()
 
     def _handle_timer(self, now: float, fired: events.TimerFired) -> None:
         match fired.token:
--- a/limiter/policy/server_selection.py
+++ b/limiter/policy/server_selection.py
@@ -4,6 +4,7 @@
 attempt is expected to take there. Types: limiter/model. All times and durations are milliseconds.
 """
 
+import math
 from dataclasses import dataclass, field
 from heapq import nsmallest
 
@@ -11,7 +12,7 @@
 from limiter.model.settings import DedupScope, Idempotency
 from limiter.policy.context import EngineContext
 from limiter.policy.open_request import OpenRequest
-from limiter.policy.outlier_detection import OutlierDetector
+from limiter.policy.outlier_detection import RECORD_AGEING_MS, OutlierDetector
 from limiter.policy.server_table import Server, ServerTable
 from limiter.policy.slow_start import SlowStart
 
@@ -112,7 +113,8 @@
         latency = self.outliers.mean_latency
         record_weight = 0.0
         if health.latency:
-            record_weight = health.remaining_weight(now)
+            # What `health.remaining_weight` returns, without a call for each candidate of each choice.
+            record_weight = math.exp((health.last_outcome_at - now) / RECORD_AGEING_MS)
             latency += record_weight * (health.latency - latency)
         working = 0
         attempts = server.attempts_in_flight
