--- a/limiter/configuration/config_parser.py
+++ b/limiter/configuration/config_parser.py
@@ -5,7 +5,6 @@
 import math
 from collections.abc import Mapping
 from dataclasses import replace
-from typing import Any
 
 from limiter.configuration.addresses import Address, parse_address
 from limiter.configuration.config import Config, ConfigError, GossipConfig
@@ -21,6 +20,7 @@
 MAX_DESCRIPTORS = 2**31
 DEFAULT_DIAL_TIMEOUT_MS = 250.0
 DEFAULT_KEEPALIVE_MS = 30_000.0
+NOT_A_LIST = "not a list of objects"
 
 
 def parse(document: Mapping[str, object]) -> Config:
@@ -32,6 +32,7 @@
     raw = document.get("settings")
     if not isinstance(raw, dict):
         raise ConfigError(key="settings", problem="missing or not an object")
+    _check_plan_list(raw)
     reader = _settings_reader(raw)
     settings = _parse_settings(reader)
     dial_timeout_ms = _parse_positive(reader, "limits.dialTimeout", DEFAULT_DIAL_TIMEOUT_MS)
@@ -137,12 +138,25 @@
     return int(value)
 
 
-def _parse_unique_names(raw: Mapping[str, Any], key: str) -> tuple[str, ...]:
+def _check_plan_list(raw: Mapping[str, object]) -> None:
+    """Refuse an object with a count in place of the list of plans.
+
+    No field of a plan is required, so that any count, however large, would be read to its end.
+    """
+    plans = raw.get("contracts")
+    if isinstance(plans, dict) and "count" in plans:
+        raise ConfigError(key="settings.contracts", problem=NOT_A_LIST)
+
+
+def _parse_unique_names(raw: Mapping[str, object], key: str) -> tuple[str, ...]:
     """Return the names of a list of objects, as the headers of requests state them.
 
     They are read from the document, since the mapping of settings has some of their characters replaced.
     """
-    names = tuple(item.get("name") for item in raw[key])
+    items = raw.get(key)
+    if not isinstance(items, list) or not all(isinstance(item, dict) for item in items):
+        raise ConfigError(key=f"settings.{key}", problem=NOT_A_LIST)
+    names = tuple(item.get("name") for item in items)
     for index, name in enumerate(names):
         if not isinstance(name, str) or not name or names.index(name) != index:
             raise ConfigError(
--- a/limiter/model/settings.py
+++ b/limiter/model/settings.py
@@ -228,6 +228,15 @@
 
     Where `exclusive` is set, the value must be above `minimum`.
     """
-    is_number = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
-    if not is_number or value < minimum or value > maximum or (exclusive and value == minimum):
+    if not _is_finite_number(value) or value < minimum or value > maximum or (exclusive and value == minimum):
         raise SettingsError(name, f"{value!r} is not a number in its range")
+
+
+def _is_finite_number(value: object) -> bool:
+    """Whether a value is a number that a float can hold; an integer of 400 digits is not."""
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        return False
+    try:
+        return math.isfinite(value)
+    except OverflowError:
+        return False
--- a/tests/transport/test_lifecycle.py
+++ b/tests/transport/test_lifecycle.py
@@ -27,6 +27,8 @@
 # Configuration
 
 
+CLASSES_AS_OBJECT = {"count": 1, "0": {"aim": 1, "deadline": 2, "effect": "once"}}
+
 # Each entry: a document, and the setting that the error message names.
 BAD_CONFIGURATIONS: dict[str, tuple[Any, str]] = {
     "not JSON": ("{", "RELAY_CONFIG"),
@@ -43,6 +45,18 @@
     "gateways": (configuration(settings=settings(peersTotal=0)), "limiter_count"),
     "no plan": (configuration(settings=settings(contracts=[])), "contracts.count"),
     "number in place of names": (configuration(settings=settings(localities=3)), "settings.localities"),
+    "integer that no float holds": (configuration(settings=settings(me=10**400)), "limiter_index"),
+    "classes as an object": (
+        configuration(
+            settings=settings(classes={"count": 1, "0": {"aim": 1, "deadline": 2, "effect": "once"}})
+        ),
+        "settings.classes",
+    ),
+    "endless plans": (configuration(settings=settings(contracts={"count": 10**12})), "settings.contracts"),
+    "plan without an object": (
+        configuration(settings=settings(contracts=[{"name": "a"}, "b"])),
+        "settings.contracts",
+    ),
     "not Unicode": (configuration(settings=settings(localities=["\ud800"])), "settings: "),
 }
 
