--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -15,7 +15,7 @@
 from limiter.policy.admission_rules import AdmissionRules
 from limiter.policy.attempt_dispatch import AttemptDispatcher
 from limiter.policy.concurrency_limit import ConcurrencyLimit, unseen_load_share
-from limiter.policy.context import PolicyContext, Timer
+from limiter.policy.context import EngineContext, Timer
 from limiter.policy.customer_housekeeping import CustomerHousekeeping
 from limiter.policy.customer_registry import CustomerRegistry
 from limiter.policy.discovery_backoff import DiscoveryBackoff
@@ -42,7 +42,8 @@
             SettingsError: The settings cannot be used.
         """
         validate_settings(settings)
-        context = self.context = PolicyContext(settings, seed)
+        context = self.context = EngineContext(settings, seed)
+        self._is_started = False
         self.gossip = UsageGossip(context)
         self.outliers = OutlierDetector(context)
         self.slow_start = SlowStart(context, unseen_load_share(settings))
@@ -54,7 +55,7 @@
         self.admission = self._make_admission(context)
         self.discovery = DiscoveryBackoff(context, self.selector.table, self.gossip.is_enabled)
 
-    def _make_admission(self, context: PolicyContext) -> AdmissionController:
+    def _make_admission(self, context: EngineContext) -> AdmissionController:
         housekeeping = CustomerHousekeeping(context)
         return AdmissionController(
             context=context,
@@ -78,14 +79,19 @@
         Returns:
             The actions to carry out, in this order.
         """
-        if not self.context.is_started:
-            self.context.start(now)
-            self.limit.start(now)
-            self.discovery.start()
+        if not self._is_started:
+            self._start(now)
         self.limit.advance(now)
         self._dispatch(now, event)
         return self.context.take_actions()
 
+    def _start(self, now: float) -> None:
+        """Begin with the first event."""
+        self._is_started = True
+        self.context.start(now)
+        self.limit.start(now)
+        self.discovery.start()
+
     def _dispatch(self, now: float, event: events.Event) -> None:  # noqa: C901 - one case for each event
         """Hand an event to the part that it concerns, the most frequent kinds first."""
         match event:
--- a/limiter/policy/outlier_detection.py
+++ b/limiter/policy/outlier_detection.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from limiter.model.events import AttemptEnded, Outcome
-from limiter.policy.context import PolicyContext
+from limiter.policy.context import EngineContext
 from limiter.policy.smoothing import decay_factor, ewma_step, ewma_step_or_first
 from limiter.policy.throttle import SAMPLE_INTERVAL_MS
 
@@ -114,14 +114,6 @@
     ejection: Ejection | None = None
     pause: RejectionPause | None = None
 
-    def accepts_attempts(self, now: float) -> bool:
-        """Whether the server is not ejected, or due for the probe that may end its ejection."""
-        return self.ejection is None or self.ejection.accepts_probe(now)
-
-    def is_paused(self, now: float) -> bool:
-        """Whether the server rejected an attempt so recently that it gets none."""
-        return self.pause is not None and now < self.pause.ends_at
-
     def remaining_weight(self, now: float) -> float:
         """Return the weight that the record of this server still has against the mean of the fleet."""
         return decay_factor(now - self.last_outcome_at, RECORD_AGEING_MS)
@@ -202,7 +194,7 @@
         mean_latency: Moving average of the latency over all servers; 0 until one was measured.
     """
 
-    context: PolicyContext
+    context: EngineContext
     mean_latency: float = 0.0
 
     def record_outcome(self, now: float, health: ServerHealth, ended: AttemptEnded) -> bool:
@@ -226,6 +218,11 @@
             return False
         if ended.outcome in UNINFORMATIVE:
             return False
+        self._judge(now, health, ended, is_success)
+        return is_success
+
+    def _judge(self, now: float, health: ServerHealth, ended: AttemptEnded, is_success: bool) -> None:
+        """Take in an outcome that says something of the server's health: its record, then its ejection."""
         health.age(now, self.mean_latency)
         health.record_outcome(now, is_success)
         if is_success:
@@ -237,7 +234,6 @@
             health.eject(now, self.context.random.uniform(MIN_EJECTION_JITTER, MAX_EJECTION_JITTER))
         else:
             health.end_probe(is_success)
-        return is_success
 
     def _record_latency(self, health: ServerHealth, latency: float) -> None:
         health.record_latency(latency)
