--- a/limiter/policy/admission.py
+++ b/limiter/policy/admission.py
@@ -199,7 +199,7 @@
         request = open_request.request
         customer = open_request.customer
         admission = open_request.admission
-        self.attempts.requests[request.id] = open_request
+        self.attempts.open(open_request)
         customer.record_forwarded(request.units, within_quota=admission.within_quota)
         customer.report.add(request.units * admission.report_weight - admission.reserved_units)
         is_limited_by_concurrency = customer.plan.rate <= 0 < customer.plan.max_concurrency
@@ -211,7 +211,7 @@
         request = open_request.request
         customer = open_request.customer
         admission = open_request.admission
-        self.attempts.requests.pop(request.id, None)
+        self.attempts.close(request.id)
         customer.report.add(-admission.reserved_units)
         if admission.within_quota:
             retry_after = UPDATE_INTERVAL_MS
--- a/limiter/policy/attempt_dispatch.py
+++ b/limiter/policy/attempt_dispatch.py
@@ -86,6 +86,14 @@
     requests: dict[int, OpenRequest] = field(default_factory=dict)
     retry_budget: RetryBudget = field(default_factory=RetryBudget)
 
+    def open(self, request: OpenRequest) -> None:
+        """Enter a request that is held or forwarded; one that was held before stays entered."""
+        self.requests[request.request.id] = request
+
+    def close(self, request_id: int) -> None:
+        """Forget a request that is rejected without an attempt, if it was entered."""
+        self.requests.pop(request_id, None)
+
     def send(self, now: float, request: OpenRequest) -> bool:
         """Send the next attempt of a request; return False if it is too late or no server may take it."""
         time_left = request.useful_until - now
--- a/limiter/policy/customer.py
+++ b/limiter/policy/customer.py
@@ -26,7 +26,7 @@
         limiter_set_size: Limiters that may get its requests.
         usage: Its token bucket and admission probability, rebuilt from samples.
         local_share: This limiter's even parts of its quota.
-        is_widely_shared: Whether a limiter's even part of the burst is under one request, so that this one
+        is_widely_shared: Whether a limiter's even part of the burst is under one unit, so that this one
             sees too few of its requests to know its use.
         admit_share: Share of its requests that were admitted, among those that a sample decided; a moving
             average.
--- a/limiter/policy/customer_registry.py
+++ b/limiter/policy/customer_registry.py
@@ -93,7 +93,7 @@
         )
 
     def _is_widely_shared(self, plan: QuotaPlan, limiter_set_size: float) -> bool:
-        """Whether a limiter's even part of the burst is under one request: it sees too few to go by."""
+        """Whether a limiter's even part of the burst is under one unit: it sees too few requests to go by."""
         return self.uses_counter and 0 < plan.burst < limiter_set_size and plan.rate > 0
 
     def lacks_samples(self, customer: Customer, now: float) -> bool:
--- a/limiter/policy/held_requests.py
+++ b/limiter/policy/held_requests.py
@@ -53,7 +53,7 @@
         if customer.key not in self._held and not self._call(now, customer):
             return False
         customer.report.reserve(request.admission.reserved_units)
-        self._attempts.requests[request.request.id] = request
+        self._attempts.open(request)
         self._held.setdefault(customer.key, []).append(request)
         self._housekeeping.schedule(now, release_after, customer)
         return True
