--- a/limiter/policy/customer.py
+++ b/limiter/policy/customer.py
@@ -12,7 +12,6 @@
 from limiter.policy.idle_eviction import pop_idle
 from limiter.policy.local_share import LocalShare
 from limiter.policy.sampled_usage import SampledUsage
-from limiter.policy.smoothing import ewma_step
 from limiter.policy.usage_report import UsageReport
 
 
@@ -70,7 +69,7 @@
 
     def record_decision(self, weight: float, *, is_admitted: bool) -> None:
         """Add a request that a sample decided to the share of those admitted."""
-        self.admit_share = ewma_step(self.admit_share, float(is_admitted), weight)
+        self.admit_share += weight * (float(is_admitted) - self.admit_share)
 
     def record_forwarded(self, units: float, *, within_quota: bool) -> None:
         """Take the units of a request that is forwarded from here."""
--- a/limiter/policy/customer_registry.py
+++ b/limiter/policy/customer_registry.py
@@ -16,7 +16,6 @@
 from limiter.policy.gossiped_usage import FORGET_AFTER_MS
 from limiter.policy.local_share import LocalShare
 from limiter.policy.sampled_usage import SampledUsage, even_remote_rate
-from limiter.policy.smoothing import ewma_step
 
 # A sample that has been wanted for longer than this counts as missing.
 OVERDUE_MS = 500.0
@@ -38,11 +37,11 @@
 
     def record_decision(self, weight: float, *, is_admitted: bool) -> None:
         """Add a request that a sample decided."""
-        self.admit_share = ewma_step(self.admit_share, float(is_admitted), weight)
+        self.admit_share += weight * (float(is_admitted) - self.admit_share)
 
     def record_probability(self, weight: float, probability: float) -> None:
         """Add the admission probability of a customer without tokens."""
-        self.probability = ewma_step(self.probability, probability, weight)
+        self.probability += weight * (probability - self.probability)
 
 
 class CustomerRegistry:
--- a/limiter/policy/quota_usage.py
+++ b/limiter/policy/quota_usage.py
@@ -8,7 +8,6 @@
 
 from dataclasses import dataclass
 
-from limiter.policy.smoothing import ewma_step
 from limiter.policy.throttle import updated_probability
 
 
@@ -45,7 +44,7 @@
 
     def update_utilization(self, sample: float, weight: float) -> None:
         """Add a sample, use as a share of the quota, to the moving average."""
-        self.utilization = ewma_step(self.utilization, sample, weight)
+        self.utilization += weight * (sample - self.utilization)
 
     def update_probability(self, target: float) -> None:
         """Multiply the admission probability by target / utilization, clamped."""
--- a/limiter/policy/usage_gossip.py
+++ b/limiter/policy/usage_gossip.py
@@ -61,6 +61,7 @@
         peers = settings.limiter_count - 1
         intake_per_second = settings.gossip_intake_per_second
         self._context = context
+        self._plans = settings.plans
         self.is_enabled = settings.may_gossip and intake_per_second > 0 and peers > 0
         # A receiver gets messages at the same rate in a fleet of any size: in a larger one each limiter sends
         # fewer.
@@ -88,8 +89,7 @@
 
     def usage_of(self, now: float, customer: int, plan_index: int) -> GossipedUsage:
         """Return a customer's use as of `now`."""
-        plan = self._context.settings.plans[plan_index]
-        return self.usage.find(now, customer, plan, self._mean_latency)
+        return self.usage.find(now, customer, self._plans[plan_index], self._mean_latency)
 
     def quota_of(self, now: float, request: ClientRequest) -> GossipedQuota:
         """Return what is left of the quota of a request's customer, as of `now`."""
--- a/limiter/simulator/event_decoder.py
+++ b/limiter/simulator/event_decoder.py
@@ -71,21 +71,22 @@
 }
 ENDPOINT_STATES = {0: EndpointState.DRAINING, 1: EndpointState.READY, 2: EndpointState.GONE}
 
-# Fields after a record's code. A layout that ends with a count or length is followed by so much content.
-_CLIENT_DISCONNECTED = struct.Struct(">HI")  # limiter, requestId
-_ENDPOINTS_CHANGED = struct.Struct(">HBQI")  # limiter, form, revision, setId
-_HEALTH_CHECK_ENDED = struct.Struct(">H6sHdB")  # limiter, server, how, latency, count of serverStats
-_INSTANCE_OPENED = struct.Struct(">HQI")  # limiter, salt, length of settings
+# Layouts of records. The first byte, `x`, is the code, which the decoder has looked at before. A layout that
+# ends with a count or length is followed by so much content.
+_CLIENT_DISCONNECTED = struct.Struct(">xHI")  # limiter, requestId
+_ENDPOINTS_CHANGED = struct.Struct(">xHBQI")  # limiter, form, revision, setId
+_HEALTH_CHECK_ENDED = struct.Struct(">xH6sHdB")  # limiter, server, how, latency, count of serverStats
+_INSTANCE_OPENED = struct.Struct(">xHQI")  # limiter, salt, length of settings
 # limiter, requestId, opts, priceUnits, terms, apiKey, type, setSize, setStart, notAfter
-_CLIENT_REQUEST = struct.Struct(">HIHfHQBffd")
-_TIMER_FIRED = struct.Struct(">HI")  # limiter, handle
-_STREAM_STARTED = struct.Struct(">HIB6sd")  # limiter, requestId, seqNo, server, latency
-_INSTANCE_CLOSED = struct.Struct(">H")  # limiter
+_CLIENT_REQUEST = struct.Struct(">xHIHfHQBffd")
+_TIMER_FIRED = struct.Struct(">xHI")  # limiter, handle
+_STREAM_STARTED = struct.Struct(">xHIB6sd")  # limiter, requestId, seqNo, server, latency
+_INSTANCE_CLOSED = struct.Struct(">xH")  # limiter
 # limiter, requestId, seenUse, latency, seqNo, server, billed, how, doneFlag, count of serverStats
-_ATTEMPT_ENDED = struct.Struct(">HIHdB6sHHBB")
-_GOSSIP_RECEIVED = struct.Struct(">HHH")  # limiter, sender, length of bytes
-_COUNTER_REPLY = struct.Struct(">HQHfd")  # limiter, cname, how, resultValue, latency
-_ENDPOINT_PAGE = struct.Struct(">II")  # setId, count of entries
+_ATTEMPT_ENDED = struct.Struct(">xHIHdB6sHHBB")
+_GOSSIP_RECEIVED = struct.Struct(">xHHH")  # limiter, sender, length of bytes
+_COUNTER_REPLY = struct.Struct(">xHQHfd")  # limiter, cname, how, resultValue, latency
+_ENDPOINT_PAGE = struct.Struct(">xII")  # setId, count of entries
 ENDPOINT_ENTRY = struct.Struct(">HdH6sfHB")  # bay, startTime, kind, server, capacityHint, hall, status
 # Layouts of load reports by their number of values, which is one byte on the wire.
 _FLOATS = [struct.Struct(f">{count}f") for count in range(256)]
@@ -114,7 +115,7 @@
         try:
             for _ in range(record_count):
                 start = reader.offset
-                code = reader.read_code()
+                code = body[start]
                 decode_record = _DECODERS.get(code)
                 if decode_record is None:
                     raise _unknown_code(code, "event code", f" at byte {start}")
--- a/limiter/simulator/record_reader.py
+++ b/limiter/simulator/record_reader.py
@@ -28,16 +28,6 @@
         self.offset = 0
         self.pages = pages
 
-    def read_code(self) -> int:
-        """Return the code of a record, its first byte.
-
-        Raises:
-            IndexError: The body has ended.
-        """
-        code = self._body[self.offset]
-        self.offset += 1
-        return code
-
     def read(self, layout: struct.Struct) -> tuple[Any, ...]:
         """Return the fields of a layout, whose types `struct` doesn't tell: each decoder names its fields."""
         fields = layout.unpack_from(self._body, self.offset)
