--- a/limiter/policy/outlier_detection.py
+++ b/limiter/policy/outlier_detection.py
@@ -7,12 +7,11 @@
 
 from __future__ import annotations
 
-import math
 from dataclasses import dataclass
 
 from limiter.model.events import AttemptEnded, Outcome
 from limiter.policy.context import EngineContext
-from limiter.policy.smoothing import ewma_step, ewma_step_or_first
+from limiter.policy.smoothing import decay_factor, ewma_step, ewma_step_or_first
 from limiter.policy.throttle import SAMPLE_INTERVAL_MS
 
 # Weight of the newest outcome in a server's own latency and failure rate.
@@ -117,8 +116,7 @@
 
     def remaining_weight(self, now: float) -> float:
         """Return the weight that the record of this server still has against the mean of the fleet."""
-        # Written out, without `decay_factor`: it runs for each candidate of each choice.
-        return math.exp((self.last_outcome_at - now) / RECORD_AGEING_MS)
+        return decay_factor(now - self.last_outcome_at, RECORD_AGEING_MS)
 
     def record_attempt_sent(self) -> None:
         """Count an attempt that is sent to the server: the probe, if the server is ejected."""
