--- a/limiter/model/actions.py
+++ b/limiter/model/actions.py
@@ -61,13 +61,13 @@
 
     Attributes:
         key: The key of the count, 64 bits.
-        amount: Units to add; 0 only reads the total.
+        units_to_add: Units to add; 0 only reads the total.
         time_to_live: Milliseconds after which a count that this call creates is forgotten. Later calls do not
             extend it.
     """
 
     key: int
-    amount: float
+    units_to_add: float
     time_to_live: float
 
 
--- a/limiter/model/events.py
+++ b/limiter/model/events.py
@@ -23,11 +23,13 @@
     CONNECT_FAILED = "connect failed"  # There was no connection, so nothing was sent.
     RESET = "reset"  # The connection broke while the attempt was in flight; the request may have run.
     CANCELLED = "cancelled"  # The policy cancelled the attempt; the request may have run.
-    REQUEST_OVER = "request over"  # Nothing was sent: the request had its final response, or no attempt left.
+    REQUEST_ENDED = (
+        "request over"  # Nothing was sent: the request had its final response, or no attempt left.
+    )
 
 
 # Outcomes after which it is certain that the server did not run the request.
-NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.REQUEST_OVER)
+NOT_EXECUTED_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.REQUEST_ENDED)
 
 
 class EndpointState(Enum):
@@ -58,7 +60,7 @@
         state: Whether it may be sent requests.
         zone: Number of the zone that it runs in.
         cell: Number of its cell; servers of a cell share what they know of idempotency keys.
-        kind: Number of its kind of machine.
+        machine_type: Number of its kind of machine.
         weight: Hint at its capacity, to be compared with the weights of other servers.
         started_at: Time at which it started; 0 if that was long ago.
     """
@@ -67,7 +69,7 @@
     state: EndpointState
     zone: int = 0
     cell: int = 0
-    kind: int = 0
+    machine_type: int = 0
     weight: float = 1.0
     started_at: float = 0.0
 
@@ -179,13 +181,13 @@
     Attributes:
         key: The key of the count that was called.
         outcome: How the call ended.
-        total: The count after this call, all limiters together. Valid with `Outcome.OK` only.
+        total_units: The count after this call, all limiters together. Valid with `Outcome.OK` only.
         latency: Milliseconds from the call to its end.
     """
 
     key: int
     outcome: Outcome
-    total: float
+    total_units: float
     latency: float
 
 
--- a/limiter/model/settings.py
+++ b/limiter/model/settings.py
@@ -54,8 +54,9 @@
         dedup_scope: Which servers drop a repeat with the same idempotency key.
         dedup_window: Milliseconds for which servers remember an idempotency key.
         priority_weight: Worth of a response that is on time, before the plan's factor (`QuotaPlan.price`).
-        late_weight: Fraction of the priority weight that a late response is still worth.
-        streaming: Whether the response is a stream, whose first part is an event of its own (StreamStarted).
+        late_weight_fraction: Fraction of the priority weight that a late response is still worth.
+        streams_response: Whether the response is a stream, whose first part is an event of its own
+            (StreamStarted).
     """
 
     latency_objective: float
@@ -64,8 +65,8 @@
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window: float = 0.0
     priority_weight: float = 1.0
-    late_weight: float = 0.0
-    streaming: bool = False
+    late_weight_fraction: float = 0.0
+    streams_response: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,9 +82,9 @@
         max_concurrency: Limit on the customer's attempts in flight; 0 where there is none.
         ceiling_rate: Units a second that are never to be exceeded; 0 where there is no ceiling.
         ceiling_burst: Units that the token bucket of the ceiling holds.
-        price: Factor on the priority weight of requests of this plan.
-        over_quota_cost: Fraction of its weight that a request forwarded beyond the quota costs.
-        over_quota_weight: Fraction of its weight that such a request is still worth.
+        priority_factor: Factor on the priority weight of requests of this plan.
+        over_quota_cost_fraction: Fraction of its weight that a request forwarded beyond the quota costs.
+        over_quota_weight_fraction: Fraction of its weight that such a request is still worth.
     """
 
     rate: float = 0.0
@@ -91,9 +92,9 @@
     max_concurrency: int = 0
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
-    price: float = 1.0
-    over_quota_cost: float = 0.0
-    over_quota_weight: float = 0.0
+    priority_factor: float = 1.0
+    over_quota_cost_fraction: float = 0.0
+    over_quota_weight_fraction: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,16 +116,16 @@
         has_counter: Whether the limiters share a counter of units.
         may_hedge: Whether a request may have two attempts in flight at a time.
         may_gossip: Whether the limiters send each other gossip.
-        gossip_intake_per_second: Gossip messages a second that a limiter takes in.
-        honours_retry_after: Whether rejected clients get a Retry-After, for which some of them wait.
+        max_received_gossip_per_second: Gossip messages a second that a limiter takes in.
+        clients_honor_retry_after: Whether rejected clients get a Retry-After, for which some of them wait.
         max_retry_after: Longest Retry-After in milliseconds that clients wait for.
         polls_discovery: Whether limiters poll discovery for the endpoint list; otherwise discovery pushes it.
         poll_interval: Milliseconds without a poll after which a limiter counts as knowing only the list of
             its last poll.
         counter_timeout: Milliseconds after which a counter call has failed.
         meter_period: Milliseconds over which servers meter a customer's usage; 0 where they don't.
-        post_paid: Whether the units of a request are an estimate until its response states the true ones.
-        max_units: Most units that one request can take.
+        is_post_paid: Whether the units of a request are an estimate until its response states the true ones.
+        max_units_per_request: Most units that one request can take.
         slow_start_capacity: Fraction of its full capacity that a server starts with.
         slow_start_duration: Milliseconds in which a server rises from that fraction to its full capacity.
         slow_start_overload: Load that a server in slow start bears, as a multiple of its present capacity.
@@ -142,15 +143,15 @@
     has_counter: bool = False
     may_hedge: bool = False
     may_gossip: bool = False
-    gossip_intake_per_second: float = 0.0
-    honours_retry_after: bool = False
+    max_received_gossip_per_second: float = 0.0
+    clients_honor_retry_after: bool = False
     max_retry_after: float = 0.0
     polls_discovery: bool = False
     poll_interval: float = 10000.0
     counter_timeout: float = 50.0
     meter_period: float = 0.0
-    post_paid: bool = False
-    max_units: float = 1.0
+    is_post_paid: bool = False
+    max_units_per_request: float = 1.0
     slow_start_capacity: float = 1.0
     slow_start_duration: float = 0.0
     slow_start_overload: float = 1.0
@@ -190,7 +191,7 @@
     _check_number(f"{path}.deadline", request_class.deadline, 0, exclusive=True)
     _check_number(f"{path}.dedup_window", request_class.dedup_window, 0)
     _check_number(f"{path}.priority_weight", request_class.priority_weight, 0)
-    _check_number(f"{path}.late_weight", request_class.late_weight, 0)
+    _check_number(f"{path}.late_weight_fraction", request_class.late_weight_fraction, 0)
 
 
 def _check_plan(path: str, plan: QuotaPlan) -> None:
@@ -199,9 +200,9 @@
     _check_number(f"{path}.max_concurrency", plan.max_concurrency, 0)
     _check_number(f"{path}.ceiling_rate", plan.ceiling_rate, 0)
     _check_number(f"{path}.ceiling_burst", plan.ceiling_burst, 0)
-    _check_number(f"{path}.price", plan.price, 0)
-    _check_number(f"{path}.over_quota_cost", plan.over_quota_cost, 0)
-    _check_number(f"{path}.over_quota_weight", plan.over_quota_weight, 0)
+    _check_number(f"{path}.priority_factor", plan.priority_factor, 0)
+    _check_number(f"{path}.over_quota_cost_fraction", plan.over_quota_cost_fraction, 0)
+    _check_number(f"{path}.over_quota_weight_fraction", plan.over_quota_weight_fraction, 0)
 
 
 def _check_limits(settings: Settings) -> None:
@@ -209,9 +210,9 @@
     _check_number("max_retry_after", settings.max_retry_after, 0)
     _check_number("poll_interval", settings.poll_interval, 0, exclusive=True)
     _check_number("counter_timeout", settings.counter_timeout, 0, exclusive=settings.has_counter)
-    _check_number("gossip_intake_per_second", settings.gossip_intake_per_second, 0)
+    _check_number("max_received_gossip_per_second", settings.max_received_gossip_per_second, 0)
     _check_number("meter_period", settings.meter_period, 0)
-    _check_number("max_units", settings.max_units, 0)
+    _check_number("max_units_per_request", settings.max_units_per_request, 0)
 
 
 def _check_slow_start(settings: Settings) -> None:
--- a/limiter/policy/admission.py
+++ b/limiter/policy/admission.py
@@ -39,22 +39,22 @@
     Args:
         context: What the parts of the engine share.
         customers: The customers with recent requests.
-        sampler: Makes calls to the counter and takes in their replies.
-        gossip: What other limiters forwarded.
+        usage_sampler: Makes calls to the counter and takes in their replies.
+        usage_gossip: What other limiters forwarded.
         rules: Judge a request.
-        attempts: Sends the attempts of admitted requests.
-        held: Requests that wait for the counter.
+        attempt_dispatcher: Sends the attempts of admitted requests.
+        held_requests: Requests that wait for the counter.
         reporter: Reports the use of customers to the counter.
         housekeeping: Customers to look at again.
     """
 
     context: EngineContext
     customers: CustomerRegistry
-    sampler: UsageSampler
-    gossip: UsageGossip
+    usage_sampler: UsageSampler
+    usage_gossip: UsageGossip
     rules: AdmissionRules
-    attempts: AttemptDispatcher
-    held: HeldRequests
+    attempt_dispatcher: AttemptDispatcher
+    held_requests: HeldRequests
     reporter: UsageReporter
     housekeeping: CustomerHousekeeping
 
@@ -62,13 +62,13 @@
         """Decide on a new request, or hold it for the counter's reply."""
         if not self._is_valid(request):
             return
-        customer = self.customers.find(now, request)
+        customer = self.customers.get_or_create(now, request)
         self.customers.advance(customer, now)
-        self.attempts.retry_budget.earn()
+        self.attempt_dispatcher.retry_budget.earn()
         open_request = self._open(now, request, customer)
         if not customer.is_widely_shared:
             self._decide(now, open_request, has_sample=True)
-        elif self.gossip.is_fresh(now):
+        elif self.usage_gossip.is_fresh(now):
             self._decide_by_gossip(now, open_request)
         else:
             self._decide_by_counter(now, open_request)
@@ -78,12 +78,12 @@
         settings = self.context.settings
         has_plan = request.plan < len(settings.plans)
         has_class = request.request_class < len(settings.request_classes)
-        return has_plan and has_class and request.id not in self.attempts.requests
+        return has_plan and has_class and request.id not in self.attempt_dispatcher.open_requests
 
     def _open(self, now: float, request: ClientRequest, customer: Customer) -> OpenRequest:
         request_class = self.context.settings.request_classes[request.request_class]
         useful_until = request.expires_at
-        if request_class.late_weight <= 0:
+        if request_class.late_weight_fraction <= 0:
             # A late response is worth nothing: the request ends with its objective and leaves its capacity to
             # others.
             useful_until = min(useful_until, now + request_class.latency_objective)
@@ -94,13 +94,13 @@
         customer = request.customer
         usage = customer.usage
         units = request.request.units
-        quota = self.gossip.quota_of(now, request.request)
-        usage.adopt_tokens(quota.tokens)
-        usage.adopt_probability(quota.probability)
+        quota = self.usage_gossip.estimate_quota(now, request.request)
+        usage.set_tokens(quota.tokens)
+        usage.set_probability(quota.probability)
         if usage.tokens < max(units, MIN_BURST_SHARE_WITHOUT_CALL * customer.plan.burst):
             request.admission.mark_probability_drawn()
             if usage.tokens < units or self.context.random.random() >= usage.probability:
-                usage.empty()
+                usage.empty_bucket()
             elif self._hold_for_slot(now, request):
                 return
         self._decide(now, request, has_sample=True)
@@ -115,12 +115,12 @@
         report = request.customer.report
         admission.set_report_weight(0.0)
         if not report.is_call_in_flight:
-            report.replace(request.request.units)
+            report.set_unreported(request.request.units)
             admission.reserve(request.request.units)
-        is_held = self.held.hold(now, request)
+        is_held = self.held_requests.hold(now, request)
         admission.release_reservation()
         if not is_held:
-            report.replace(0.0)
+            report.set_unreported(0.0)
         return is_held
 
     def _decide_by_counter(self, now: float, request: OpenRequest) -> None:
@@ -130,51 +130,51 @@
         """
         customer = request.customer
         admission = request.admission
-        weight = 1 / self.sampler.call_probability
+        weight = 1 / self.usage_sampler.call_probability
         admission.set_report_weight(weight)
-        is_likely_admitted = customer.admit_share >= MIN_ADMIT_SHARE_TO_REPORT_AHEAD
+        is_likely_admitted = customer.admitted_fraction >= MIN_ADMIT_SHARE_TO_REPORT_AHEAD
         if is_likely_admitted and not customer.report.is_call_in_flight:
             admission.reserve(request.request.units * weight)
-        customer.report.add(admission.reserved_units)
-        if self.held.hold(now, request):
+        customer.report.add_unreported(admission.reserved_units)
+        if self.held_requests.hold(now, request):
             return
-        customer.report.add(-admission.reserved_units)
+        customer.report.add_unreported(-admission.reserved_units)
         admission.release_reservation()
         admission.set_report_weight(0.0)
         self._decide(now, request, has_sample=False)
 
     def handle_counter_reply(self, now: float, reply: CounterReply) -> None:
         """Take in a reply and decide on the requests that were held for it."""
-        customer = self.sampler.handle_reply(now, reply)
+        customer = self.usage_sampler.handle_reply(now, reply)
         if customer is not None:
             self._release(now, customer, has_sample=reply.outcome is Outcome.OK)
 
     def handle_housekeeping(self, now: float) -> None:
         """Release requests whose reply never came, and report use that has waited for long."""
         for customer in self.housekeeping.take_due(now):
-            if self.held.is_overdue(now, customer):
+            if self.held_requests.is_overdue(now, customer):
                 self._release(now, customer, has_sample=False)
-            self.reporter.report_overdue(now, customer)
-            if self.held.has(customer):
-                self.held.check_again(now, customer)
+            self.reporter.report_overdue_usage(now, customer)
+            if self.held_requests.has(customer):
+                self.held_requests.schedule_recheck(now, customer)
             else:
-                self.reporter.check_again(now, customer)
+                self.reporter.schedule_recheck(now, customer)
 
     def _release(self, now: float, customer: Customer, has_sample: bool) -> None:
         """Decide on the requests that were held for a call of the customer."""
-        requests = self.held.take(customer)
+        requests = self.held_requests.take(customer)
         if requests and not has_sample and requests[0].admission.probability_drawn:
             has_sample = self._adopt_gossiped_tokens(now, requests[0])
         for request in requests:
-            has_client = request.request.id in self.attempts.requests
+            has_client = request.request.id in self.attempt_dispatcher.open_requests
             if has_client:
                 self._decide(now, request, has_sample=has_sample)
 
     def _adopt_gossiped_tokens(self, now: float, request: OpenRequest) -> bool:
         """Let gossip stand for a slot's total that did not come; whether gossip is fresh."""
-        is_fresh = self.gossip.is_fresh(now)
+        is_fresh = self.usage_gossip.is_fresh(now)
         if is_fresh:
-            request.customer.usage.adopt_tokens(self.gossip.quota_of(now, request.request).tokens)
+            request.customer.usage.set_tokens(self.usage_gossip.estimate_quota(now, request.request).tokens)
         return is_fresh
 
     def _decide(self, now: float, request: OpenRequest, *, has_sample: bool) -> None:
@@ -186,33 +186,33 @@
             has_sample: Whether a sample of its customer's use stands behind the token bucket.
         """
         verdict = self.rules.judge(now, request, has_sample=has_sample)
-        if verdict is Verdict.ADMITTED and not self.attempts.send(now, request):
+        if verdict is Verdict.ADMITTED and not self.attempt_dispatcher.send(now, request):
             verdict = Verdict.NO_SERVER
         if verdict is Verdict.ADMITTED:
             self._record_forwarded(now, request)
         else:
             self._reject(request)
-        self.reporter.report(now, request, is_admitted=verdict is Verdict.ADMITTED)
+        self.reporter.report_after_decision(now, request, is_admitted=verdict is Verdict.ADMITTED)
 
     def _record_forwarded(self, now: float, open_request: OpenRequest) -> None:
         """Take the units of a request that was forwarded."""
         request = open_request.request
         customer = open_request.customer
         admission = open_request.admission
-        self.attempts.open(open_request)
-        customer.record_forwarded(request.units, within_quota=admission.within_quota)
-        customer.report.add(request.units * admission.report_weight - admission.reserved_units)
+        self.attempt_dispatcher.open(open_request)
+        customer.record_forwarded_units(request.units, within_quota=admission.within_quota)
+        customer.report.add_unreported(request.units * admission.report_weight - admission.reserved_units)
         is_limited_by_concurrency = customer.plan.rate <= 0 < customer.plan.max_concurrency
         if is_limited_by_concurrency or customer.is_widely_shared:
-            self.gossip.record_forwarded(now, request.customer, request.plan, request.units)
+            self.usage_gossip.record_forwarded_units(now, request.customer, request.plan, request.units)
 
     def _reject(self, open_request: OpenRequest) -> None:
         """Reject a request, and tell its client when to come back."""
         request = open_request.request
         customer = open_request.customer
         admission = open_request.admission
-        self.attempts.close(request.id)
-        customer.report.add(-admission.reserved_units)
+        self.attempt_dispatcher.close(request.id)
+        customer.report.add_unreported(-admission.reserved_units)
         if admission.within_quota:
             retry_after = UPDATE_INTERVAL_MS
         else:
--- a/limiter/policy/admission_rules.py
+++ b/limiter/policy/admission_rules.py
@@ -93,13 +93,13 @@
         if plan.rate > 0:
             return self._passes_without_sample(customer)
         if plan.max_concurrency > 0 and self._gossip.is_fresh(now):
-            usage = self._gossip.usage_of(now, request.request.customer, request.request.plan)
+            usage = self._gossip.get_usage(now, request.request.customer, request.request.plan)
             return self._context.random.random() < usage.probability
         return True
 
     def _passes_without_sample(self, customer: Customer) -> bool:
         """Draw by the share of requests admitted of late, within this limiter's part of the rate."""
-        probability = min(customer.admit_share, customer.local_share.fallback_tokens)
+        probability = min(customer.admitted_fraction, customer.local_share.fallback_tokens)
         return self._context.random.random() < probability
 
     def _passes_draw(self, request: OpenRequest) -> bool:
@@ -132,9 +132,9 @@
         plan = customer.plan
         if plan.max_concurrency <= 0:
             return False
-        remote_in_flight = customer.remote_in_flight
+        remote_in_flight = customer.remote_attempts_in_flight
         if plan.rate > 0:
             remote_in_flight = customer.usage.remote_rate * self._outliers.mean_latency
         # One attempt is always allowed: the others' are an estimate.
         max_in_flight = max(1, plan.max_concurrency - int(remote_in_flight))
-        return customer.in_flight >= max_in_flight
+        return customer.attempts_in_flight >= max_in_flight
--- a/limiter/policy/attempt_dispatch.py
+++ b/limiter/policy/attempt_dispatch.py
@@ -7,7 +7,13 @@
 from enum import Enum, auto
 
 from limiter.model.actions import FailRequest, RejectRequest, SendAttempt
-from limiter.model.events import NEVER_RAN, AttemptEnded, ClientDisconnected, Outcome, StreamStarted
+from limiter.model.events import (
+    NOT_EXECUTED_OUTCOMES,
+    AttemptEnded,
+    ClientDisconnected,
+    Outcome,
+    StreamStarted,
+)
 from limiter.model.settings import Idempotency
 from limiter.policy.concurrency_limit import ConcurrencyLimit
 from limiter.policy.context import EngineContext
@@ -48,20 +54,20 @@
 class RetryBudget:
     """Retries that may be made: each request earns a part of one."""
 
-    retries: float = 1.0
+    available_retries: float = 1.0
 
     @property
     def has_retry(self) -> bool:
         """Whether a retry may be made now."""
-        return self.retries >= 1
+        return self.available_retries >= 1
 
     def earn(self) -> None:
         """Add one request's part."""
-        self.retries = min(MAX_RETRY_BUDGET, self.retries + RETRIES_PER_REQUEST)
+        self.available_retries = min(MAX_RETRY_BUDGET, self.available_retries + RETRIES_PER_REQUEST)
 
     def spend(self) -> None:
         """Take a retry that is made."""
-        self.retries -= 1
+        self.available_retries -= 1
 
 
 @dataclass(eq=False)
@@ -71,42 +77,42 @@
     Attributes:
         context: What the parts of the policy engine share.
         customers: The customers whose requests these are.
-        selector: Chooses the server of an attempt.
-        limit: Counts the attempts in flight from here.
-        gossip: Tells the other limiters of them.
-        requests: Open requests by id, those that are held for a counter reply included.
+        server_selector: Chooses the server of an attempt.
+        concurrency_limit: Counts the attempts in flight from here.
+        usage_gossip: Tells the other limiters of them.
+        open_requests: Open requests by id, those that are held for a counter reply included.
         retry_budget: Retries that may be made.
     """
 
     context: EngineContext
     customers: CustomerRegistry
-    selector: ServerSelector
-    limit: ConcurrencyLimit
-    gossip: UsageGossip
-    requests: dict[int, OpenRequest] = field(default_factory=dict)
+    server_selector: ServerSelector
+    concurrency_limit: ConcurrencyLimit
+    usage_gossip: UsageGossip
+    open_requests: dict[int, OpenRequest] = field(default_factory=dict)
     retry_budget: RetryBudget = field(default_factory=RetryBudget)
 
     def open(self, request: OpenRequest) -> None:
         """Enter a request that is held or forwarded; one that was held before stays entered."""
-        self.requests[request.request.id] = request
+        self.open_requests[request.request.id] = request
 
     def close(self, request_id: int) -> None:
         """Forget a request that is rejected without an attempt, if it was entered."""
-        self.requests.pop(request_id, None)
+        self.open_requests.pop(request_id, None)
 
     def send(self, now: float, request: OpenRequest) -> bool:
         """Send the next attempt of a request; return False if it is too late or no server may take it."""
         time_left = request.useful_until - now
         if time_left <= 0 or not self._has_attempt_left(request):
             return False
-        server = self.selector.choose(now, request)
+        server = self.server_selector.choose(now, request)
         if server is None:
             return False
-        self.selector.slow_start.record_attempt(server)
+        self.server_selector.slow_start.record_attempt(server)
         server.start_attempt(request.request.id, request.attempts.count, now)
         request.start_attempt(now, server.endpoint)
-        self.limit.record_attempt_started()
-        self.gossip.schedule()
+        self.concurrency_limit.record_attempt_started()
+        self.usage_gossip.schedule()
         timeout = self._attempt_timeout(request, time_left)
         self.context.actions.append(SendAttempt(request.request.id, server.endpoint.id, timeout))
         return True
@@ -126,34 +132,34 @@
         """
         request_class = request.request_class
         is_idempotent = request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
-        may_repeat = is_idempotent and not request_class.streaming and self._has_attempt_left(request)
-        is_pressured = self.limit.utilization >= PRESSURED_UTILIZATION
+        may_repeat = is_idempotent and not request_class.streams_response and self._has_attempt_left(request)
+        is_pressured = self.concurrency_limit.utilization >= PRESSURED_UTILIZATION
         if not may_repeat or is_pressured or not self.retry_budget.has_retry:
             return time_left
         objective_share = request_class.latency_objective * ATTEMPT_TIMEOUT_SHARE
-        usual_latency = ATTEMPT_TIMEOUT_LATENCIES * self.selector.outliers.mean_latency
+        usual_latency = ATTEMPT_TIMEOUT_LATENCIES * self.server_selector.outlier_detector.mean_latency
         return min(time_left, max(objective_share, usual_latency))
 
     def handle_attempt_ended(self, now: float, ended: AttemptEnded) -> None:
         """Take in how an attempt ended; retry its request or end that."""
-        server = self.selector.table.by_id.get(ended.endpoint_id)
+        server = self.server_selector.table.by_id.get(ended.endpoint_id)
         is_ok = ended.outcome is Outcome.OK
         if server is None or not server.end_attempt(ended.request_id, ended.attempt, is_ok):
             return  # The attempt was not sent by this process.
-        is_success = self.selector.outliers.record_outcome(now, server.health, ended)
-        self.limit.record_attempt_ended(is_success)
-        request = self.requests.get(ended.request_id)
+        is_success = self.server_selector.outlier_detector.record_outcome(now, server.health, ended)
+        self.concurrency_limit.record_attempt_ended(is_success)
+        request = self.open_requests.get(ended.request_id)
         if request is None:
             return
         request.end_attempt()
         self.customers.advance(request.customer, now)
         billable_units = request.request.units if request.admission.within_quota else None
-        self.customers.settle(now, request.customer, ended, billable_units)
+        self.customers.record_attempt_end(now, request.customer, ended, billable_units)
         if ended.request_finished:
-            del self.requests[ended.request_id]
+            del self.open_requests[ended.request_id]
             return
         attempts = request.attempts
-        if ended.outcome in NEVER_RAN:
+        if ended.outcome in NOT_EXECUTED_OUTCOMES:
             attempts.mark_never_ran(ended.attempt)
         if not attempts.in_flight and not attempts.is_streaming:
             self._retry_or_end(now, request)
@@ -164,7 +170,7 @@
         if effect is not RepeatEffect.HARMFUL and self._retry(now, request):
             return
         request_id = request.request.id
-        del self.requests[request_id]
+        del self.open_requests[request_id]
         if effect is RepeatEffect.HARMLESS:
             self.context.actions.append(RejectRequest(request_id, UPDATE_INTERVAL_MS))
         else:
@@ -172,7 +178,7 @@
 
     @staticmethod
     def _repeat_effect(now: float, request: OpenRequest) -> RepeatEffect:
-        first = request.attempts.first
+        first = request.attempts.first_attempt
         request_class = request.request_class
         if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
             return RepeatEffect.HARMLESS
@@ -191,12 +197,12 @@
 
     def handle_disconnect(self, _now: float, disconnected: ClientDisconnected) -> None:
         """Forget a request whose client has left; its attempts in flight end by themselves."""
-        request = self.requests.pop(disconnected.request_id, None)
+        request = self.open_requests.pop(disconnected.request_id, None)
         if request is not None:
             request.customer.end_attempts(request.attempts.in_flight)
 
     def handle_stream_start(self, _now: float, started: StreamStarted) -> None:
         """Note that the client has part of the response: the request may not be sent again."""
-        request = self.requests.get(started.request_id)
+        request = self.open_requests.get(started.request_id)
         if request is not None:
             request.attempts.mark_streaming()
--- a/limiter/policy/attempts_in_flight.py
+++ b/limiter/policy/attempts_in_flight.py
@@ -29,12 +29,12 @@
     last_sent_at: float = 0.0
     last_success_sent_at: float = -math.inf
 
-    def start(self, request_id: int, attempt: int, now: float) -> None:
+    def add(self, request_id: int, attempt: int, now: float) -> None:
         """Count an attempt that is sent to the server now."""
         self.sent_at[(request_id, attempt)] = now
         self.last_sent_at = now
 
-    def end(self, request_id: int, attempt: int, is_success: bool) -> bool:
+    def remove(self, request_id: int, attempt: int, is_success: bool) -> bool:
         """Count the end of an attempt.
 
         Returns:
@@ -47,16 +47,16 @@
             self.last_success_sent_at = max(self.last_success_sent_at, sent_at)
         return True
 
-    def after_restart(self) -> AttemptsInFlight:
+    def copy_for_restarted_server(self) -> AttemptsInFlight:
         """Return the same attempts for a server that was started anew: they went to the process before it."""
         return AttemptsInFlight(self.sent_at)
 
-    def count_overtaken(self, sent_before: float) -> int:
+    def count_presumed_lost(self, sent_before: float) -> int:
         """Return how many of the attempts that were sent before this time were overtaken."""
         overtaken_before = min(sent_before, self.last_success_sent_at)
         return sum(sent_at < overtaken_before for sent_at in self.sent_at.values())
 
-    def waiting_since(self) -> float:
+    def unanswered_since(self) -> float:
         """Return the time since when the server has not answered. At least one attempt must be in flight."""
         oldest_sent_at = next(iter(self.sent_at.values()))
         return max(oldest_sent_at, self.last_success_sent_at)
--- a/limiter/policy/concurrency_limit.py
+++ b/limiter/policy/concurrency_limit.py
@@ -10,8 +10,13 @@
 from limiter.model.settings import Settings
 from limiter.policy.context import EngineContext
 from limiter.policy.server_selection import ServerSelector
-from limiter.policy.smoothing import clamp, ewma_step, ewma_step_or_first, weight_of_newest
-from limiter.policy.throttle import EWMA_WEIGHT, TARGET_UTILIZATION, UPDATE_INTERVAL_MS, clamp_probability
+from limiter.policy.smoothing import clamp, newest_sample_weight, update_ewma, update_or_start_ewma
+from limiter.policy.throttle import (
+    TARGET_UTILIZATION,
+    UPDATE_INTERVAL_MS,
+    UTILIZATION_EWMA_WEIGHT,
+    clamp_probability,
+)
 from limiter.policy.usage_gossip import UsageGossip
 
 # Waiting that counts as full load, as a share of the tightest objective beyond the idle latency; and the
@@ -21,7 +26,7 @@
 UNSEEN_LOAD_WAIT_SHARE = 0.5
 
 # Lowest limit while the fleet is not overloaded: one attempt in flight is ordinary and no sign of load.
-MIN_LIMIT = 2.0
+MIN_CONCURRENCY_LIMIT = 2.0
 
 # Lowest limit however much the fleet is overloaded: without any attempt a limiter would not see it recover.
 MIN_OVERLOAD_LIMIT = 1.0
@@ -51,7 +56,7 @@
 MIN_DIVISOR = 1e-9
 
 
-def unseen_load_share(settings: Settings) -> float:
+def unobserved_load_fraction(settings: Settings) -> float:
     """Return how little of a server's load one limiter sees: 0 if enough, towards 1 in an endless fleet."""
     return max(0.0, 1 - INITIAL_PER_SERVER / settings.limiter_count)
 
@@ -62,10 +67,11 @@
 
     Attributes:
         context: What the parts of the policy engine share.
-        selector: Knows the servers and the attempts in flight to each.
-        gossip: Knows the load of the other limiters.
+        server_selector: Knows the servers and the attempts in flight to each.
+        usage_gossip: Knows the load of the other limiters.
         in_flight: Attempts in flight from here.
-        stalled: Of these, the attempts that were lost or wait for unresponsive servers, by the last update.
+        stalled_attempts: Of these, the attempts that were lost or wait for unresponsive servers, by the last
+            update.
         max_in_flight: Attempts in flight from here that the fleet answers in good time; 0 until there is an
             endpoint list.
         per_server: Attempts in flight from all limiters that a server with full capacity takes.
@@ -79,10 +85,10 @@
     """
 
     context: EngineContext
-    selector: ServerSelector
-    gossip: UsageGossip
+    server_selector: ServerSelector
+    usage_gossip: UsageGossip
     in_flight: int = 0
-    stalled: int = 0
+    stalled_attempts: int = 0
     max_in_flight: float = 0.0
     per_server: float = INITIAL_PER_SERVER
     utilization: float = 0.0
@@ -96,7 +102,7 @@
     @property
     def working(self) -> int:
         """Attempts in flight that servers work on."""
-        return max(0, self.in_flight - self.stalled)
+        return max(0, self.in_flight - self.stalled_attempts)
 
     @property
     def is_known(self) -> bool:
@@ -127,8 +133,8 @@
 
     def mean_in_flight(self) -> float:
         """Return the attempts in flight from here, or from the mean limiter where others gossip theirs."""
-        if self.gossip.is_enabled and self.selector.slow_start.unseen_load_share:
-            return self.gossip.peer_load.mean_in_flight(self.working)
+        if self.usage_gossip.is_enabled and self.server_selector.slow_start.unobserved_load_fraction:
+            return self.usage_gossip.peer_load.mean_in_flight(self.working)
         return self.working
 
     def admission_probability(self) -> float:
@@ -137,11 +143,17 @@
 
     def update(self, now: float) -> None:
         """Work out the limit anew, and begin the next interval."""
-        self.stalled = self._count_stalled(now)
+        self.stalled_attempts = self._count_stalled(now)
         self._measure_utilization(now)
         self._update_per_server()
-        capacity = self.selector.slow_start.measure_fleet(now, self.selector.table.ready)
-        lowest = clamp(MIN_LIMIT / max(self.utilization, MIN_UTILIZATION), MIN_OVERLOAD_LIMIT, MIN_LIMIT)
+        capacity = self.server_selector.slow_start.update_fleet_capacity(
+            now, self.server_selector.table.ready
+        )
+        lowest = clamp(
+            MIN_CONCURRENCY_LIMIT / max(self.utilization, MIN_UTILIZATION),
+            MIN_OVERLOAD_LIMIT,
+            MIN_CONCURRENCY_LIMIT,
+        )
         even_part = self.per_server * capacity / self.context.settings.limiter_count
         self.max_in_flight = max(lowest, even_part)
         self.updated_at = now
@@ -167,14 +179,14 @@
         """
         if not self.in_flight:
             return 0
-        servers = self.selector.table.by_id.values()
+        servers = self.server_selector.table.by_id.values()
         busy = [server.attempts_in_flight for server in servers if server.attempts_in_flight is not None]
-        sent_before = now - self.context.tightest_objective
-        stalled = sum(attempts.count_overtaken(sent_before) for attempts in busy)
-        unresponsive = [attempts for attempts in busy if attempts.waiting_since() < sent_before]
+        sent_before = now - self.context.min_latency_objective
+        stalled = sum(attempts.count_presumed_lost(sent_before) for attempts in busy)
+        unresponsive = [attempts for attempts in busy if attempts.unanswered_since() < sent_before]
         if len(unresponsive) <= UNRESPONSIVE_SERVERS_SHARE * len(servers):
             for attempts in unresponsive:
-                stalled += len(attempts.sent_at) - attempts.count_overtaken(sent_before)
+                stalled += len(attempts.sent_at) - attempts.count_presumed_lost(sent_before)
         return stalled
 
     def _measure_utilization(self, now: float) -> None:
@@ -184,24 +196,26 @@
         """
         completed = max(self.completed, 1)
         newest = self.busy_time / completed
-        weight = weight_of_newest(completed, COMPLETED_SCALE)
-        self.latency = ewma_step_or_first(self.latency, newest, weight)
+        weight = newest_sample_weight(completed, COMPLETED_SCALE)
+        self.latency = update_or_start_ewma(self.latency, newest, weight)
         mean = self.latency
-        unseen_share = self.selector.slow_start.unseen_load_share
-        if self.gossip.is_enabled and unseen_share:
-            peer_load = self.gossip.peer_load
+        unseen_share = self.server_selector.slow_start.unobserved_load_fraction
+        if self.usage_gossip.is_enabled and unseen_share:
+            peer_load = self.usage_gossip.peer_load
             peer_load.decay(now)
-            weight = weight_of_newest(completed * (1 + peer_load.weight), COMPLETED_SCALE)
+            weight = newest_sample_weight(completed * (1 + peer_load.message_weight), COMPLETED_SCALE)
             newest = peer_load.mean_latency(newest)
             mean = peer_load.mean_latency(mean)
         if self.completed:
             self.idle_latency = min(mean, self.idle_latency * IDLE_LATENCY_GROWTH or mean)
-        self.gossip.set_mean_latency(mean)
+        self.usage_gossip.set_mean_latency(mean)
         full_load = self._full_load_latency(unseen_share)
-        self.utilization = ewma_step(self.utilization, newest / full_load, min(EWMA_WEIGHT, weight))
+        self.utilization = update_ewma(
+            self.utilization, newest / full_load, min(UTILIZATION_EWMA_WEIGHT, weight)
+        )
 
     def _full_load_latency(self, unseen_share: float) -> float:
         """Return the mean latency at which the fleet counts as fully loaded."""
-        objective = self.context.tightest_objective
+        objective = self.context.min_latency_objective
         wait_share = FULL_LOAD_WAIT_SHARE + unseen_share * (UNSEEN_LOAD_WAIT_SHARE - FULL_LOAD_WAIT_SHARE)
         return self.idle_latency + wait_share * max(0.0, objective - self.idle_latency)
--- a/limiter/policy/context.py
+++ b/limiter/policy/context.py
@@ -15,7 +15,7 @@
 NOT_STARTED = -1.0
 
 
-class Timer(IntEnum):
+class TimerToken(IntEnum):
     """Tokens of the timers that the policy sets."""
 
     HOUSEKEEPING = 0
@@ -32,10 +32,10 @@
         random: The source of every random draw.
         actions: What the event in hand leads to, in order.
         started_at: Time of the first event; below 0 before it.
-        tightest_objective: The shortest latency objective of a request class.
+        min_latency_objective: The shortest latency objective of a request class.
     """
 
-    __slots__ = ("actions", "random", "settings", "started_at", "tightest_objective")
+    __slots__ = ("actions", "min_latency_objective", "random", "settings", "started_at")
 
     def __init__(self, settings: Settings, seed: int) -> None:
         """Start without an event.
@@ -48,13 +48,13 @@
         self.random = Random(seed)
         self.actions: list[Action] = []
         self.started_at = NOT_STARTED
-        self.tightest_objective = min(each.latency_objective for each in settings.request_classes)
+        self.min_latency_objective = min(each.latency_objective for each in settings.request_classes)
 
     def start(self, now: float) -> None:
         """Note the time of the first event."""
         self.started_at = now
 
-    def set_timer(self, delay: float, timer: Timer) -> None:
+    def set_timer(self, delay: float, timer: TimerToken) -> None:
         """Ask for TimerFired with this token after the delay."""
         self.actions.append(SetTimer(delay, timer))
 
--- a/limiter/policy/customer.py
+++ b/limiter/policy/customer.py
@@ -27,12 +27,12 @@
         local_share: This limiter's even parts of its quota.
         is_widely_shared: Whether a limiter's even part of the burst is under one unit, so that this one
             sees too few of its requests to know its use.
-        admit_share: Share of its requests that were admitted, among those that a sample decided; a moving
-            average.
+        admitted_fraction: Share of its requests that were admitted, among those that a sample decided; a
+            moving average.
         report: Its use on the way to the counter.
         last_seen_at: Time of its last request.
-        in_flight: Attempts in flight from here.
-        remote_in_flight: Attempts in flight from other limiters, as servers metered them last.
+        attempts_in_flight: Attempts in flight from here.
+        remote_attempts_in_flight: Attempts in flight from other limiters, as servers metered them last.
     """
 
     key: int
@@ -41,11 +41,11 @@
     is_widely_shared: bool
     usage: SampledUsage
     local_share: LocalShare
-    admit_share: float
+    admitted_fraction: float
     report: UsageReport = field(default_factory=UsageReport)
     last_seen_at: float = 0.0
-    in_flight: int = 0
-    remote_in_flight: float = 0.0
+    attempts_in_flight: int = 0
+    remote_attempts_in_flight: float = 0.0
 
     @property
     def is_busy(self) -> bool:
@@ -54,7 +54,7 @@
         Requests that are held for a reply need no check of their own: a call is in flight as long as they
         are.
         """
-        return bool(self.in_flight or self.report.is_call_in_flight)
+        return bool(self.attempts_in_flight or self.report.is_call_in_flight)
 
     def mark_seen(self, now: float) -> None:
         """Note the time of a request."""
@@ -69,29 +69,29 @@
 
     def record_decision(self, weight: float, *, is_admitted: bool) -> None:
         """Add a request that a sample decided to the share of those admitted."""
-        self.admit_share += weight * (float(is_admitted) - self.admit_share)
+        self.admitted_fraction += weight * (float(is_admitted) - self.admitted_fraction)
 
-    def record_forwarded(self, units: float, *, within_quota: bool) -> None:
+    def record_forwarded_units(self, units: float, *, within_quota: bool) -> None:
         """Take the units of a request that is forwarded from here."""
-        self.local_share.take(units)
-        self.usage.record_forwarded(units, within_quota=within_quota)
+        self.local_share.consume(units)
+        self.usage.record_forwarded_units(units, within_quota=within_quota)
 
     def record_billed(self, extra_units: float) -> None:
         """Take what a forwarded request was billed beyond its estimate, and report it."""
         self.usage.record_billed(extra_units, self.plan)
-        self.report.add(extra_units)
+        self.report.add_unreported(extra_units)
 
     def start_attempt(self) -> None:
         """Count an attempt that is sent from here."""
-        self.in_flight += 1
+        self.attempts_in_flight += 1
 
     def end_attempts(self, count: int) -> None:
         """Count attempts that have ended."""
-        self.in_flight -= count
+        self.attempts_in_flight -= count
 
     def record_metered_concurrency(self, total: float) -> None:
         """Take in how many attempts are in flight through all limiters, as a server metered it."""
-        self.remote_in_flight = max(0.0, total - self.in_flight)
+        self.remote_attempts_in_flight = max(0.0, total - self.attempts_in_flight)
 
     def time_until_available(self, units: float) -> float:
         """Return the milliseconds until the bucket holds so many units, if the others go on as of late."""
--- a/limiter/policy/customer_housekeeping.py
+++ b/limiter/policy/customer_housekeeping.py
@@ -7,7 +7,7 @@
 
 import math
 
-from limiter.policy.context import EngineContext, Timer
+from limiter.policy.context import EngineContext, TimerToken
 from limiter.policy.customer import Customer
 
 # A round may begin this much early: the timer of an earlier round may fire a rounding error before its time.
@@ -28,7 +28,7 @@
         self._pending[customer.key] = customer
         if now + delay < self._due_at:
             self._due_at = now + delay
-            self._context.set_timer(delay, Timer.HOUSEKEEPING)
+            self._context.set_timer(delay, TimerToken.HOUSEKEEPING)
 
     def take_due(self, now: float) -> list[Customer]:
         """Return the customers to look at now; none if an earlier timer has replaced the one that fired."""
--- a/limiter/policy/customer_registry.py
+++ b/limiter/policy/customer_registry.py
@@ -13,7 +13,7 @@
 from limiter.policy import throttle
 from limiter.policy.context import EngineContext
 from limiter.policy.customer import Customer, CustomerTable
-from limiter.policy.gossiped_usage import FORGET_AFTER_MS
+from limiter.policy.gossiped_usage import CUSTOMER_IDLE_TIMEOUT_MS
 from limiter.policy.local_share import LocalShare
 from limiter.policy.sampled_usage import SampledUsage, even_remote_rate
 
@@ -28,16 +28,16 @@
     """How a plan's customers were decided on of late: a new customer of the plan begins there.
 
     Attributes:
-        admit_share: Share admitted of the requests that a sample decided; a moving average.
+        admitted_fraction: Share admitted of the requests that a sample decided; a moving average.
         probability: Admission probability of customers without tokens; a moving average.
     """
 
-    admit_share: float = 1.0
+    admitted_fraction: float = 1.0
     probability: float = 1.0
 
     def record_decision(self, weight: float, *, is_admitted: bool) -> None:
         """Add a request that a sample decided."""
-        self.admit_share += weight * (float(is_admitted) - self.admit_share)
+        self.admitted_fraction += weight * (float(is_admitted) - self.admitted_fraction)
 
     def record_probability(self, weight: float, probability: float) -> None:
         """Add the admission probability of a customer without tokens."""
@@ -52,10 +52,10 @@
         self._context = context
         settings = context.settings
         self.uses_counter = settings.has_counter and not settings.meter_period
-        self.table = CustomerTable(FORGET_AFTER_MS)
+        self.table = CustomerTable(CUSTOMER_IDLE_TIMEOUT_MS)
         self.plan_history = [PlanHistory() for _ in settings.plans]
 
-    def find(self, now: float, request: ClientRequest) -> Customer:
+    def get_or_create(self, now: float, request: ClientRequest) -> Customer:
         """Return the customer of a request, made anew or brought in line with the request's plan and set."""
         settings = self._context.settings
         plan = settings.plans[request.plan]
@@ -88,7 +88,7 @@
                 remote_rate=even_remote_rate(plan, limiter_set_size),
             ),
             local_share=LocalShare(ceiling_tokens=refilled / limiter_set_size),
-            admit_share=history.admit_share,
+            admitted_fraction=history.admitted_fraction,
         )
 
     def _is_widely_shared(self, plan: QuotaPlan, limiter_set_size: float) -> bool:
@@ -102,7 +102,7 @@
         report = customer.report
         wanted_since = report.sample_wanted_since
         is_overdue = wanted_since is not None and now - wanted_since > OVERDUE_MS
-        if not is_overdue and report.failed_calls <= MAX_FAILED_CALLS:
+        if not is_overdue and report.consecutive_failed_calls <= MAX_FAILED_CALLS:
             return False
         return not customer.is_widely_shared
 
@@ -117,7 +117,7 @@
             usage.advance(elapsed, plan)
         customer.local_share.refill(elapsed, plan, customer.limiter_set_size)
 
-    def settle(
+    def record_attempt_end(
         self, now: float, customer: Customer, ended: AttemptEnded, billable_units: float | None
     ) -> None:
         """Take in what an attempt that has ended tells of its customer's use.
--- a/limiter/policy/discovery_backoff.py
+++ b/limiter/policy/discovery_backoff.py
@@ -13,7 +13,7 @@
 from limiter.codecs.gossip_messages import decode_report, encode_report, is_report
 from limiter.model.actions import BroadcastGossip, PollDiscovery
 from limiter.model.events import DiscoveryPollFailed, EndpointId, EndpointsChanged, EndpointState
-from limiter.policy.context import EngineContext, Timer
+from limiter.policy.context import EngineContext, TimerToken
 from limiter.policy.server_table import ServerTable
 from limiter.policy.smoothing import clamp
 
@@ -40,7 +40,7 @@
 GOSSIP_SPREAD_MS = 500.0
 
 # Reports of one server that are sent by all limiters together. One message in twenty may be lost.
-MAX_COPIES = 3
+MAX_REPORT_COPIES = 3
 
 # Reported servers that are remembered while the own list is up to date: enough for the last steps of a
 # release.
@@ -73,7 +73,7 @@
         # Whether a poll was rejected since the last answer.
         self.was_rejected = False
         # Number of reports of each server since the last answer, the longest unreported first.
-        self.peer_reports: dict[EndpointId, int] = {}
+        self.peer_report_counts: dict[EndpointId, int] = {}
         # Ordered set of endpoints that are draining or gone and still to be reported.
         self.unannounced: dict[EndpointId, None] = {}
         # Whether the next message has to tell of a poll.
@@ -91,13 +91,13 @@
         if self.context.settings.polls_discovery:
             self.context.actions.append(PollDiscovery())
 
-    def handle_failure(self, _now: float, failure: DiscoveryPollFailed) -> None:
+    def handle_poll_failure(self, _now: float, failure: DiscoveryPollFailed) -> None:
         """Take in that a poll failed: until one is answered, peers' reports count."""
         if self.may_gossip:
             self.is_stale = True
             if failure.rejected and not self.was_rejected:
                 self._start_slots()
-            self.servers.avoid(self.peer_reports)
+            self.servers.avoid(self.peer_report_counts)
             self._schedule_gossip()
         if failure.rejected:
             self._schedule_poll()
@@ -110,7 +110,7 @@
         self.polls_in_slot = 0
         self._count_poll()
 
-    def handle_list(self, change: EndpointsChanged) -> None:
+    def handle_endpoint_list(self, change: EndpointsChanged) -> None:
         """Take in an answer of discovery, before the server table does: now the own list decides."""
         if not self.may_gossip or change.from_cache:
             return
@@ -121,7 +121,7 @@
         self.unannounced.update(dict.fromkeys(filter(self._needs_report, removed)))
         self.is_stale = False
         self.was_rejected = False
-        self.peer_reports = {}
+        self.peer_report_counts = {}
         self.servers.trust_own_list()
         self._schedule_gossip()
 
@@ -171,17 +171,17 @@
         self.polls_in_slot += 1
 
     def _needs_report(self, server: EndpointId) -> bool:
-        return self.peer_reports.get(server, 0) < MAX_COPIES
+        return self.peer_report_counts.get(server, 0) < MAX_REPORT_COPIES
 
     def handle_gossip_timer(self) -> None:
         """Send the message that is due, unless messages of peers have made it needless."""
         self.is_gossip_scheduled = False
-        body = self.encode()
+        body = self.encode_next_message()
         if body is not None:
             self.context.actions.append(BroadcastGossip(body))
             self._schedule_gossip()
 
-    def encode(self) -> bytes | None:
+    def encode_next_message(self) -> bytes | None:
         """One message with what is still to be announced; None if there is nothing."""
         announces_poll = self.announces_poll and self.polls_in_slot <= MAX_POLLS_ANNOUNCED
         self.announces_poll = False
@@ -195,7 +195,7 @@
             del self.unannounced[server]
         return body
 
-    def receive(self, body: bytes) -> bool:
+    def handle_gossip_message(self, body: bytes) -> bool:
         """Take in a peer's report of polls and servers; False if this is another kind of message."""
         if not self.may_gossip or not is_report(body):
             return False
@@ -204,9 +204,9 @@
             return True  # A malformed message is ignored.
         self.polls_in_slot += report.has_polled
         for server in report.endpoint_ids:
-            self.peer_reports[server] = self.peer_reports.pop(server, 0) + 1
-            if len(self.peer_reports) > MAX_PEER_REPORTS:
-                del self.peer_reports[next(iter(self.peer_reports))]
+            self.peer_report_counts[server] = self.peer_report_counts.pop(server, 0) + 1
+            if len(self.peer_report_counts) > MAX_PEER_REPORTS:
+                del self.peer_report_counts[next(iter(self.peer_report_counts))]
         if self.is_stale:
             self.servers.avoid(report.endpoint_ids)
         return True
@@ -218,11 +218,11 @@
             if not self.may_gossip:
                 slots = clamp(self.limiter_count / POLLS_PER_SLOT, 1.0, MAX_SLOTS_UNSHARED)
             jitter = self.context.random.uniform(MIN_SLOT_JITTER, MAX_SLOT_JITTER)
-            self.context.set_timer(slots * SLOT_MS * jitter, Timer.DISCOVERY_POLL)
+            self.context.set_timer(slots * SLOT_MS * jitter, TimerToken.DISCOVERY_POLL)
 
     def _schedule_gossip(self) -> None:
         """Draw the time of the next message: mostly late, so that the few early ones save the others."""
         if not self.is_gossip_scheduled and (self.announces_poll or self.unannounced):
             self.is_gossip_scheduled = True
             logarithm = math.log(1 - self.context.random.random()) / math.log(max(2, self.limiter_count))
-            self.context.set_timer(GOSSIP_SPREAD_MS * max(0.0, 1 + logarithm), Timer.DISCOVERY_GOSSIP)
+            self.context.set_timer(GOSSIP_SPREAD_MS * max(0.0, 1 + logarithm), TimerToken.DISCOVERY_GOSSIP)
--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -14,8 +14,8 @@
 from limiter.policy.admission import AdmissionController
 from limiter.policy.admission_rules import AdmissionRules
 from limiter.policy.attempt_dispatch import AttemptDispatcher
-from limiter.policy.concurrency_limit import ConcurrencyLimit, unseen_load_share
-from limiter.policy.context import EngineContext, Timer
+from limiter.policy.concurrency_limit import ConcurrencyLimit, unobserved_load_fraction
+from limiter.policy.context import EngineContext, TimerToken
 from limiter.policy.customer_housekeeping import CustomerHousekeeping
 from limiter.policy.customer_registry import CustomerRegistry
 from limiter.policy.discovery_backoff import DiscoveryBackoff
@@ -44,28 +44,34 @@
         validate_settings(settings)
         context = self.context = EngineContext(settings, seed)
         self._is_started = False
-        self.gossip = UsageGossip(context)
-        self.outliers = OutlierDetector(context)
-        self.slow_start = SlowStart(context, unseen_load_share(settings))
-        self.selector = ServerSelector(context, self.outliers, self.slow_start)
-        self.limit = ConcurrencyLimit(context, self.selector, self.gossip)
+        self.usage_gossip = UsageGossip(context)
+        self.outlier_detector = OutlierDetector(context)
+        self.slow_start = SlowStart(context, unobserved_load_fraction(settings))
+        self.server_selector = ServerSelector(context, self.outlier_detector, self.slow_start)
+        self.concurrency_limit = ConcurrencyLimit(context, self.server_selector, self.usage_gossip)
         self.customers = CustomerRegistry(context)
-        self.attempts = AttemptDispatcher(context, self.customers, self.selector, self.limit, self.gossip)
-        self.sampler = UsageSampler(context, self.customers, self.gossip)
+        self.attempt_dispatcher = AttemptDispatcher(
+            context, self.customers, self.server_selector, self.concurrency_limit, self.usage_gossip
+        )
+        self.usage_sampler = UsageSampler(context, self.customers, self.usage_gossip)
         self.admission = self._make_admission(context)
-        self.discovery = DiscoveryBackoff(context, self.selector.table, self.gossip.is_enabled)
+        self.discovery_backoff = DiscoveryBackoff(
+            context, self.server_selector.table, self.usage_gossip.is_enabled
+        )
 
     def _make_admission(self, context: EngineContext) -> AdmissionController:
         housekeeping = CustomerHousekeeping(context)
         return AdmissionController(
             context=context,
             customers=self.customers,
-            sampler=self.sampler,
-            gossip=self.gossip,
-            rules=AdmissionRules(context, self.customers, self.gossip, self.outliers, self.limit),
-            attempts=self.attempts,
-            held=HeldRequests(context, self.sampler, self.attempts, housekeeping),
-            reporter=UsageReporter(self.sampler, housekeeping),
+            usage_sampler=self.usage_sampler,
+            usage_gossip=self.usage_gossip,
+            rules=AdmissionRules(
+                context, self.customers, self.usage_gossip, self.outlier_detector, self.concurrency_limit
+            ),
+            attempt_dispatcher=self.attempt_dispatcher,
+            held_requests=HeldRequests(context, self.usage_sampler, self.attempt_dispatcher, housekeeping),
+            reporter=UsageReporter(self.usage_sampler, housekeeping),
             housekeeping=housekeeping,
         )
 
@@ -81,13 +87,13 @@
         """
         if not self._is_started:
             self._start(now)
-        self.limit.advance(now)
+        self.concurrency_limit.advance(now)
         # The most frequent kinds of events come first.
         match event:
             case events.ClientRequest():
                 self.admission.handle_request(now, event)
             case events.AttemptEnded():
-                self.attempts.handle_attempt_ended(now, event)
+                self.attempt_dispatcher.handle_attempt_ended(now, event)
             case events.TimerFired():
                 self._handle_timer(now, event)
             case events.CounterReply():
@@ -97,11 +103,11 @@
             case events.EndpointsChanged():
                 self._handle_endpoints(now, event)
             case events.ClientDisconnected():
-                self.attempts.handle_disconnect(now, event)
+                self.attempt_dispatcher.handle_disconnect(now, event)
             case events.StreamStarted():
-                self.attempts.handle_stream_start(now, event)
+                self.attempt_dispatcher.handle_stream_start(now, event)
             case events.DiscoveryPollFailed():
-                self.discovery.handle_failure(now, event)
+                self.discovery_backoff.handle_poll_failure(now, event)
             case events.HealthCheckEnded():
                 pass  # no health check is ever sent
             case _:
@@ -112,30 +118,30 @@
         """Begin with the first event."""
         self._is_started = True
         self.context.start(now)
-        self.limit.start(now)
-        self.discovery.start()
+        self.concurrency_limit.start(now)
+        self.discovery_backoff.start()
 
     def _handle_timer(self, now: float, fired: events.TimerFired) -> None:
         match fired.token:
-            case Timer.HOUSEKEEPING:
+            case TimerToken.HOUSEKEEPING:
                 self.admission.handle_housekeeping(now)
-            case Timer.DISCOVERY_POLL:
-                self.discovery.handle_poll_timer()
-            case Timer.USAGE_GOSSIP if self.gossip.is_enabled:
-                self.gossip.send(self.limit.working, self.limit.latency)
-                if self.limit.in_flight or self.gossip.has_unsent_units:
-                    self.gossip.schedule()
-            case Timer.DISCOVERY_GOSSIP:
-                self.discovery.handle_gossip_timer()
+            case TimerToken.DISCOVERY_POLL:
+                self.discovery_backoff.handle_poll_timer()
+            case TimerToken.USAGE_GOSSIP if self.usage_gossip.is_enabled:
+                self.usage_gossip.send(self.concurrency_limit.working, self.concurrency_limit.latency)
+                if self.concurrency_limit.in_flight or self.usage_gossip.has_unsent_units:
+                    self.usage_gossip.schedule()
+            case TimerToken.DISCOVERY_GOSSIP:
+                self.discovery_backoff.handle_gossip_timer()
 
     def _handle_gossip(self, now: float, received: events.GossipReceived) -> None:
-        if not self.discovery.receive(received.body):
-            self.gossip.receive(now, received.body)
+        if not self.discovery_backoff.handle_gossip_message(received.body):
+            self.usage_gossip.receive(now, received.body)
 
     def _handle_endpoints(self, now: float, change: events.EndpointsChanged) -> None:
-        self.discovery.handle_list(change)
+        self.discovery_backoff.handle_endpoint_list(change)
         has_change = change.is_full_list or bool(change.endpoints)
         if has_change:
-            self.selector.update_endpoints(change)
-            if not self.limit.is_known:
-                self.limit.update(now)
+            self.server_selector.update_endpoints(change)
+            if not self.concurrency_limit.is_known:
+                self.concurrency_limit.update(now)
--- a/limiter/policy/gossiped_usage.py
+++ b/limiter/policy/gossiped_usage.py
@@ -10,13 +10,13 @@
 from limiter.model.settings import QuotaPlan
 from limiter.policy.idle_eviction import pop_idle
 from limiter.policy.quota_usage import QuotaUsage
-from limiter.policy.throttle import EWMA_WEIGHT, TARGET_UTILIZATION
+from limiter.policy.throttle import TARGET_UTILIZATION, UTILIZATION_EWMA_WEIGHT
 
 # Share of a concurrency quota to aim at: attempts in flight vary by chance, and those beyond the quota count
 # too.
 CONCURRENCY_TARGET = 0.8
 # Milliseconds after which an idle customer is forgotten, from the design page.
-FORGET_AFTER_MS = 60000.0
+CUSTOMER_IDLE_TIMEOUT_MS = 60000.0
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
@@ -39,9 +39,9 @@
         self.refill(self.plan.rate / 1000, elapsed, self.plan.burst)
         self.refilled_at = now
 
-    def record_forwarded(self, units: float) -> None:
+    def record_forwarded_units(self, units: float) -> None:
         """Take units that some limiter forwarded."""
-        self.take(units)
+        self.consume(units)
         self.sampled_units += units
 
     def end_sample(self, now: float, mean_latency: float) -> None:
@@ -60,7 +60,7 @@
             # Little's law: the arrival rate times the latency is the number in flight.
             sample = units_per_ms * mean_latency / max(self.plan.max_concurrency, 1)
             target = CONCURRENCY_TARGET
-        self.update_utilization(sample, EWMA_WEIGHT)
+        self.update_utilization(sample, UTILIZATION_EWMA_WEIGHT)
         self.update_probability(target)
         self.sampled_units = 0.0
         self.sample_start = now
@@ -86,7 +86,7 @@
             usage = GossipedUsage(plan=plan, tokens=plan.burst, refilled_at=now, sample_start=now)
         self.records[customer] = usage
         usage.advance(now)  # before others are forgotten: it marks this record as used now
-        pop_idle(self.records, lambda each: now - each.refilled_at > FORGET_AFTER_MS)
+        pop_idle(self.records, lambda each: now - each.refilled_at > CUSTOMER_IDLE_TIMEOUT_MS)
         if now - usage.sample_start >= self.sample_interval:
             usage.end_sample(now, mean_latency)
         return usage
--- a/limiter/policy/held_requests.py
+++ b/limiter/policy/held_requests.py
@@ -59,7 +59,7 @@
         return True
 
     def _call(self, now: float, customer: Customer) -> bool:
-        return not customer.report.is_call_in_flight and self._sampler.call(now, customer)
+        return not customer.report.is_call_in_flight and self._sampler.call_counter(now, customer)
 
     def has(self, customer: Customer) -> bool:
         """Whether requests of the customer are held."""
@@ -70,7 +70,7 @@
         waited = now - customer.report.call_started_at
         return waited > self._counter_timeout + HOUSEKEEPING_MARGIN_MS / 2
 
-    def check_again(self, now: float, customer: Customer) -> None:
+    def schedule_recheck(self, now: float, customer: Customer) -> None:
         """Look at a customer with held requests again once its call should have ended."""
         self._housekeeping.schedule(now, self._counter_timeout + HOUSEKEEPING_MARGIN_MS, customer)
 
--- a/limiter/policy/local_share.py
+++ b/limiter/policy/local_share.py
@@ -34,7 +34,7 @@
         refilled = self.fallback_tokens + plan.rate / 1000 * elapsed / limiter_set_size
         self.fallback_tokens = min(MAX_FALLBACK_TOKENS, refilled)
 
-    def take(self, units: float) -> None:
+    def consume(self, units: float) -> None:
         """Take the units of a request that is forwarded from here."""
         self.ceiling_tokens -= units
         self.fallback_tokens = max(0.0, self.fallback_tokens - units)
--- a/limiter/policy/open_request.py
+++ b/limiter/policy/open_request.py
@@ -6,7 +6,7 @@
 
 from limiter.model.events import ClientRequest, Endpoint, EndpointId
 from limiter.model.settings import RequestClass
-from limiter.policy.admission_notes import AdmissionNotes
+from limiter.policy.admission_state import AdmissionNotes
 from limiter.policy.customer import Customer
 
 
@@ -32,22 +32,22 @@
     Attributes:
         count: Attempts that were sent so far.
         in_flight: Those of them that have not ended.
-        first: The earliest attempt that may have run; None while no attempt can have run.
-        tried: Ids of the servers that attempts were sent to.
+        first_attempt: The earliest attempt that may have run; None while no attempt can have run.
+        tried_endpoint_ids: Ids of the servers that attempts were sent to.
         is_streaming: Whether the client has got part of a response.
     """
 
     count: int = 0
     in_flight: int = 0
-    first: FirstAttempt | None = None
-    tried: set[EndpointId] = field(default_factory=set)
+    first_attempt: FirstAttempt | None = None
+    tried_endpoint_ids: set[EndpointId] = field(default_factory=set)
     is_streaming: bool = False
 
     def start(self, now: float, endpoint: Endpoint) -> None:
         """Count an attempt that is sent to the server at this endpoint now."""
-        if self.first is None:
-            self.first = FirstAttempt(self.count, endpoint, now)
-        self.tried.add(endpoint.id)
+        if self.first_attempt is None:
+            self.first_attempt = FirstAttempt(self.count, endpoint, now)
+        self.tried_endpoint_ids.add(endpoint.id)
         self.count += 1
         self.in_flight += 1
 
@@ -57,8 +57,8 @@
 
     def mark_never_ran(self, number: int) -> None:
         """Note that the attempt with this number did not run."""
-        if self.first is not None and self.first.number == number:
-            self.first = None
+        if self.first_attempt is not None and self.first_attempt.number == number:
+            self.first_attempt = None
 
     def mark_streaming(self) -> None:
         """Note that the client has got part of a response."""
--- a/limiter/policy/outlier_detection.py
+++ b/limiter/policy/outlier_detection.py
@@ -11,7 +11,7 @@
 
 from limiter.model.events import AttemptEnded, Outcome
 from limiter.policy.context import EngineContext
-from limiter.policy.smoothing import decay_factor, ewma_step, ewma_step_or_first
+from limiter.policy.smoothing import decay_factor, update_ewma, update_or_start_ewma
 from limiter.policy.throttle import SAMPLE_INTERVAL_MS
 
 # Weight of the newest outcome in a server's own latency and failure rate.
@@ -48,7 +48,7 @@
 MAX_EJECTION_JITTER = 1.2
 
 # Outcomes that say nothing of a server's health.
-UNINFORMATIVE = (Outcome.CANCELLED, Outcome.REQUEST_OVER, Outcome.REJECTED)
+UNINFORMATIVE = (Outcome.CANCELLED, Outcome.REQUEST_ENDED, Outcome.REJECTED)
 
 
 @dataclass(slots=True, eq=False)
@@ -146,16 +146,16 @@
         if self.latency and now - self.last_outcome_at > STALE_RECORD_MS:
             remaining = self.remaining_weight(now)
             self.failure_rate = remaining * self.failure_rate
-            self.latency = ewma_step(fleet_latency, self.latency, remaining)
+            self.latency = update_ewma(fleet_latency, self.latency, remaining)
 
     def record_outcome(self, now: float, is_success: bool) -> None:
         """Count an outcome that says something of the server's health."""
-        self.failure_rate = ewma_step(self.failure_rate, 0.0 if is_success else 1.0, OUTCOME_WEIGHT)
+        self.failure_rate = update_ewma(self.failure_rate, 0.0 if is_success else 1.0, OUTCOME_WEIGHT)
         self.last_outcome_at = now
 
     def record_latency(self, latency: float) -> None:
         """Add a latency to the moving average."""
-        self.latency = ewma_step_or_first(self.latency, latency, OUTCOME_WEIGHT)
+        self.latency = update_or_start_ewma(self.latency, latency, OUTCOME_WEIGHT)
 
     def is_ejection_due(self) -> bool:
         """Whether a failure ejects the server, or ejects it again since the failed attempt was the probe."""
@@ -229,7 +229,7 @@
             self._record_latency(health, ended.latency)
         elif ended.outcome is Outcome.TIMEOUT:
             # How long the attempt was waited for is not how long the server would have taken.
-            self._record_latency(health, min(ended.latency, self.context.tightest_objective))
+            self._record_latency(health, min(ended.latency, self.context.min_latency_objective))
         if not is_success and health.is_ejection_due():
             health.eject(now, self.context.random.uniform(MIN_EJECTION_JITTER, MAX_EJECTION_JITTER))
         else:
@@ -237,4 +237,4 @@
 
     def _record_latency(self, health: ServerHealth, latency: float) -> None:
         health.record_latency(latency)
-        self.mean_latency = ewma_step_or_first(self.mean_latency, latency, FLEET_LATENCY_WEIGHT)
+        self.mean_latency = update_or_start_ewma(self.mean_latency, latency, FLEET_LATENCY_WEIGHT)
--- a/limiter/policy/peer_load.py
+++ b/limiter/policy/peer_load.py
@@ -17,12 +17,12 @@
 
     def __init__(self) -> None:
         """Start without a message of another limiter."""
-        self.weight = 0.0  # sum of the messages' weights
+        self.message_weight = 0.0  # sum of the messages' weights
         self._in_flight = 0.0  # weighted sum
         self._latency = 0.0  # weighted sum
         self._decayed_at = 0.0  # time as of which the messages are weighted
 
-    def add(self, now: float, in_flight: int, latency: float) -> None:
+    def add_message(self, now: float, in_flight: int, latency: float) -> None:
         """Take in a message.
 
         Args:
@@ -31,22 +31,22 @@
             latency: Mean latency of an attempt there.
         """
         self.decay(now)
-        self.weight += 1
+        self.message_weight += 1
         self._in_flight += in_flight
         self._latency += latency
 
     def decay(self, now: float) -> None:
         """Bring the weights of the messages to `now`."""
         factor = decay_factor(max(0.0, now - self._decayed_at), DECAY_MS)
-        self.weight *= factor
+        self.message_weight *= factor
         self._in_flight *= factor
         self._latency *= factor
         self._decayed_at = now
 
     def mean_in_flight(self, own: float) -> float:
         """Return the attempts in flight at the mean limiter: the few of one limiter alone vary by chance."""
-        return (own + self._in_flight) / (1 + self.weight)
+        return (own + self._in_flight) / (1 + self.message_weight)
 
     def mean_latency(self, own: float) -> float:
         """Return the latency of an attempt at the mean limiter."""
-        return (own + self._latency) / (1 + self.weight)
+        return (own + self._latency) / (1 + self.message_weight)
--- a/limiter/policy/quota_usage.py
+++ b/limiter/policy/quota_usage.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from limiter.policy.throttle import updated_probability
+from limiter.policy.throttle import compute_updated_probability
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
@@ -38,7 +38,7 @@
         # Written out, without `clamp`: this runs for each request and each entry of a gossip message.
         self.tokens = min(capacity, max(0.0, self.tokens + net_rate * elapsed))
 
-    def take(self, units: float) -> None:
+    def consume(self, units: float) -> None:
         """Take the units of a request that was forwarded; the bucket never holds less than none."""
         self.tokens = max(0.0, self.tokens - units)
 
@@ -48,4 +48,4 @@
 
     def update_probability(self, target: float) -> None:
         """Multiply the admission probability by target / utilization, clamped."""
-        self.probability = updated_probability(self.probability, self.utilization, target)
+        self.probability = compute_updated_probability(self.probability, self.utilization, target)
--- a/limiter/policy/sampled_usage.py
+++ b/limiter/policy/sampled_usage.py
@@ -11,7 +11,7 @@
 from limiter.model.settings import QuotaPlan
 from limiter.policy import throttle
 from limiter.policy.quota_usage import QuotaUsage
-from limiter.policy.smoothing import clamp, weight_of_newest
+from limiter.policy.smoothing import clamp, newest_sample_weight
 
 # Stands for the time of the last sample until there is one: before every time of the clock, so that the first
 # sample of a customer that servers meter is not too early.
@@ -76,10 +76,10 @@
         self.expected_remote_units += remote_rate * elapsed
         self.refilled_at += elapsed
 
-    def record_forwarded(self, units: float, *, within_quota: bool) -> None:
+    def record_forwarded_units(self, units: float, *, within_quota: bool) -> None:
         """Account for a request that is forwarded from here; beyond the quota it takes no tokens."""
         if within_quota:
-            self.take(units)
+            self.consume(units)
         self.local_units += units
 
     def record_billed(self, units: float, plan: QuotaPlan) -> None:
@@ -87,15 +87,15 @@
         self.tokens = min(plan.burst, self.tokens - units)
         self.local_units += units
 
-    def adopt_tokens(self, tokens: float) -> None:
+    def set_tokens(self, tokens: float) -> None:
         """Go by the bucket that gossip rebuilds."""
         self.tokens = tokens
 
-    def adopt_probability(self, probability: float) -> None:
+    def set_probability(self, probability: float) -> None:
         """Go by the admission probability that gossip rebuilds."""
         self.probability = probability
 
-    def empty(self) -> None:
+    def empty_bucket(self) -> None:
         """Leave no tokens: the next requests are decided by the admission probability."""
         self.tokens = 0.0
 
@@ -111,7 +111,7 @@
         elapsed = max(now - self.sampled_at, throttle.SAMPLE_INTERVAL_MS * MIN_SAMPLE_SHARE)
         corrected = self.tokens + self.expected_remote_units - remote_units
         self.tokens = clamp(corrected, 0.0, plan.burst)
-        weight = weight_of_newest(elapsed, REMOTE_RATE_MEMORY_MS)
+        weight = newest_sample_weight(elapsed, REMOTE_RATE_MEMORY_MS)
         self.remote_rate += weight * (remote_units / elapsed - self.remote_rate)
         used = self.local_units + remote_units
         self._mark_sampled(now)
@@ -127,9 +127,9 @@
         Samples of customers with few units jump to zero and back.
         """
         if sample > self.utilization:
-            return throttle.EWMA_WEIGHT
-        refilled_share = weight_of_newest(elapsed * (plan.rate / 1000), max(plan.burst, 1e-9))
-        return min(refilled_share, throttle.EWMA_WEIGHT)
+            return throttle.UTILIZATION_EWMA_WEIGHT
+        refilled_share = newest_sample_weight(elapsed * (plan.rate / 1000), max(plan.burst, 1e-9))
+        return min(refilled_share, throttle.UTILIZATION_EWMA_WEIGHT)
 
     def _mark_sampled(self, now: float) -> None:
         """Count local and expected use anew: the use up to now is known."""
--- a/limiter/policy/server_selection.py
+++ b/limiter/policy/server_selection.py
@@ -42,13 +42,13 @@
 
     Attributes:
         context: What the parts of the policy engine share.
-        outliers: Judges servers by how attempts end.
+        outlier_detector: Judges servers by how attempts end.
         slow_start: Limits what a server gets while it warms up.
         table: The servers.
     """
 
     context: EngineContext
-    outliers: OutlierDetector
+    outlier_detector: OutlierDetector
     slow_start: SlowStart
     table: ServerTable = field(default_factory=ServerTable)
 
@@ -65,11 +65,13 @@
             for server in self._candidates(request)
             if server.health.pause is None or now >= server.health.pause.ends_at
         ]
-        untried = [server for server in candidates if server.endpoint.id not in request.attempts.tried]
+        untried = [
+            server for server in candidates if server.endpoint.id not in request.attempts.tried_endpoint_ids
+        ]
         candidates = self._without_ejected(now, untried or candidates)
         candidates = self.slow_start.with_credit(now, candidates)
         count = max(1, int(self.context.settings.slow_start_overload))
-        cheapest = nsmallest(count, candidates, lambda server: self.cost(now, server))
+        cheapest = nsmallest(count, candidates, lambda server: self.estimate_cost(now, server))
         return self.slow_start.choose(now, cheapest)
 
     def _candidates(self, request: OpenRequest) -> list[Server]:
@@ -80,7 +82,7 @@
         candidates = self.table.ready
         if len(candidates) > MAX_CANDIDATES:
             candidates = self.context.random.sample(candidates, MAX_CANDIDATES)
-        first = request.attempts.first
+        first = request.attempts.first_attempt
         request_class = request.request_class
         if first is not None and request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
             if request_class.dedup_scope is DedupScope.ZONE:
@@ -103,14 +105,14 @@
         most_are_ejected = 2 * len(healthy) < len(servers)
         return servers if most_are_ejected else healthy
 
-    def cost(self, now: float, server: Server) -> float:
+    def estimate_cost(self, now: float, server: Server) -> float:
         """Return the expected time of an attempt, retries after failures included, with noise.
 
         It grows with the server's latency and the attempts in flight to it from here; overtaken attempts are
         left out. A server that does not answer has at least the latency for which it has been waited for.
         """
         health = server.health
-        latency = self.outliers.mean_latency
+        latency = self.outlier_detector.mean_latency
         record_weight = 0.0
         if health.latency:
             # What `health.remaining_weight` returns, without a call for each candidate of each choice.
@@ -119,10 +121,10 @@
         working = 0
         attempts = server.attempts_in_flight
         if attempts is not None:
-            overtaken = attempts.count_overtaken(now - self.context.tightest_objective)
+            overtaken = attempts.count_presumed_lost(now - self.context.min_latency_objective)
             working = len(attempts.sent_at) - overtaken
             if working > 0 and now - attempts.last_sent_at < UNRESPONSIVE_RETRY_MS:
-                latency = max(latency, now - attempts.waiting_since())
+                latency = max(latency, now - attempts.unanswered_since())
         noise = self.context.random.uniform(MIN_COST_NOISE, MAX_COST_NOISE)
         success_rate = max(MIN_SUCCESS_RATE, 1 - record_weight * health.failure_rate)
         return noise * (latency + BASE_LATENCY_MS) * (1 + working) / success_rate**2
--- a/limiter/policy/server_table.py
+++ b/limiter/policy/server_table.py
@@ -48,13 +48,13 @@
         """Count an attempt that is sent to the server now."""
         if self.attempts_in_flight is None:
             self.attempts_in_flight = AttemptsInFlight()
-        self.attempts_in_flight.start(request_id, attempt, now)
+        self.attempts_in_flight.add(request_id, attempt, now)
         self.health.record_attempt_sent()
 
     def end_attempt(self, request_id: int, attempt: int, is_success: bool) -> bool:
         """Count the end of an attempt; return False if it was not sent by this process."""
         in_flight = self.attempts_in_flight
-        if in_flight is None or not in_flight.end(request_id, attempt, is_success):
+        if in_flight is None or not in_flight.remove(request_id, attempt, is_success):
             return False
         if not in_flight.sent_at:
             self.attempts_in_flight = None
@@ -109,7 +109,7 @@
         # flight.
         in_flight = None
         if known is not None and known.attempts_in_flight is not None:
-            in_flight = known.attempts_in_flight.after_restart()
+            in_flight = known.attempts_in_flight.copy_for_restarted_server()
         is_ready = endpoint.state is EndpointState.READY
         started = Server(endpoint, is_ready, attempts_in_flight=in_flight)
         self.by_id[endpoint.id] = started
--- a/limiter/policy/slow_start.py
+++ b/limiter/policy/slow_start.py
@@ -70,7 +70,7 @@
 
     Attributes:
         context: What the parts of the policy engine share.
-        unseen_load_share: How little of a server's load one limiter sees, from 0 to 1. At 0 no credits
+        unobserved_load_fraction: How little of a server's load one limiter sees, from 0 to 1. At 0 no credits
             are used.
         fleet_capacity: Capacity of all ready servers together, as a number of servers with full capacity;
             at least 1.
@@ -79,7 +79,7 @@
     """
 
     context: EngineContext
-    unseen_load_share: float
+    unobserved_load_fraction: float
     fleet_capacity: float = 1.0
     even_share: float = 0.0
 
@@ -91,7 +91,7 @@
         at_start = settings.slow_start_capacity
         return min(1.0, at_start + (1 - at_start) * age / max(settings.slow_start_duration, 1e-9))
 
-    def measure_fleet(self, now: float, servers: list[AnyServer]) -> float:
+    def update_fleet_capacity(self, now: float, servers: list[AnyServer]) -> float:
         """Note the capacity of the fleet.
 
         Args:
@@ -108,7 +108,7 @@
 
     def register(self, server: StartingServer) -> None:
         """Begin the credit of a server; it is drawn, so that not all limiters turn to the server at once."""
-        attempts = self.context.random.random() if self.unseen_load_share else 1.0
+        attempts = self.context.random.random() if self.unobserved_load_fraction else 1.0
         server.slow_start_credit.grant(attempts, self.even_share)
 
     def record_attempt(self, server: StartingServer) -> None:
@@ -124,7 +124,7 @@
 
     def _uses_credits(self, now: float) -> bool:
         """Whether this limiter sees little of a server's load, and yet sends enough to share out."""
-        if not self.unseen_load_share:
+        if not self.unobserved_load_fraction:
             return False
         running_for = now - self.context.started_at
         # Both sides are multiplied by the running time: the even share of a warm-up against its minimum.
@@ -136,7 +136,7 @@
         if capacity_fraction >= 1:
             return 1.0
         overload = self.context.settings.slow_start_overload
-        attempts_per_share = CREDIT_SHARE / self.unseen_load_share * overload * capacity_fraction
+        attempts_per_share = CREDIT_SHARE / self.unobserved_load_fraction * overload * capacity_fraction
         return server.slow_start_credit.accrue(self.even_share, attempts_per_share)
 
     def choose(self, now: float, servers: Iterable[AnyServer]) -> AnyServer | None:
--- a/limiter/policy/smoothing.py
+++ b/limiter/policy/smoothing.py
@@ -8,7 +8,7 @@
 import math
 
 
-def ewma_step(average: float, sample: float, weight: float) -> float:
+def update_ewma(average: float, sample: float, weight: float) -> float:
     """Return an exponentially weighted moving average after one more sample.
 
     Args:
@@ -19,7 +19,7 @@
     return average + weight * (sample - average)
 
 
-def ewma_step_or_first(average: float, sample: float, weight: float) -> float:
+def update_or_start_ewma(average: float, sample: float, weight: float) -> float:
     """Return a moving average after one more sample, where the first sample is the average itself.
 
     Args:
@@ -40,7 +40,7 @@
     return math.exp(-elapsed / time_constant)
 
 
-def weight_of_newest(elapsed: float, time_constant: float) -> float:
+def newest_sample_weight(elapsed: float, time_constant: float) -> float:
     """Return the weight of a new sample in an average whose older samples decay exponentially.
 
     Args:
--- a/limiter/policy/throttle.py
+++ b/limiter/policy/throttle.py
@@ -8,21 +8,23 @@
 # Utilization that the throttle steers a customer towards; rho_target of the paper.
 TARGET_UTILIZATION = 0.95
 # Least admission probability, so that the use of a rejected customer goes on being measured; p_min.
-MIN_PROBABILITY = 0.01
+MIN_ADMISSION_PROBABILITY = 0.01
 # Least time between two samples of the utilization; T_m.
 SAMPLE_INTERVAL_MS = 200.0
 # Least time between two updates of the admission probability; T_f.
 UPDATE_INTERVAL_MS = 400.0
 # Weight of the newest sample in the utilization; w.
-EWMA_WEIGHT = 0.8
+UTILIZATION_EWMA_WEIGHT = 0.8
 
 
-def clamp_probability(probability: float, minimum: float = MIN_PROBABILITY) -> float:
+def clamp_probability(probability: float, minimum: float = MIN_ADMISSION_PROBABILITY) -> float:
     """Return the value from `minimum` to 1 that is nearest to `probability`."""
     return min(1.0, max(minimum, probability))
 
 
-def updated_probability(probability: float, utilization: float, target: float = TARGET_UTILIZATION) -> float:
+def compute_updated_probability(
+    probability: float, utilization: float, target: float = TARGET_UTILIZATION
+) -> float:
     """Return the admission probability after one reading of the utilization.
 
     Args:
--- a/limiter/policy/usage_gossip.py
+++ b/limiter/policy/usage_gossip.py
@@ -13,16 +13,16 @@
 from limiter.codecs.gossip_messages import UsageWriter, decode_usage
 from limiter.model.actions import BroadcastGossip
 from limiter.model.events import ClientRequest
-from limiter.policy.context import EngineContext, Timer
+from limiter.policy.context import EngineContext, TimerToken
 from limiter.policy.gossiped_usage import GossipedUsage, GossipedUsageTable
 from limiter.policy.peer_load import PeerLoad
 from limiter.policy.throttle import UPDATE_INTERVAL_MS
 
 # Share of the messages a limiter may receive that all others together send it: those beyond the limit are
 # dropped.
-INTAKE_SHARE = 0.8
+MAX_INTAKE_FRACTION = 0.8
 # Least time between two messages of a limiter, T_m of the design page.
-MIN_INTERVAL_MS = 200.0
+MIN_GOSSIP_INTERVAL_MS = 200.0
 # Intervals without any message after which what other limiters sent counts as out of date.
 MAX_INTERVALS_WITHOUT_MESSAGE = 3.0
 # Limiters send their messages at times that differ by this share of the interval, so that not all send
@@ -51,7 +51,7 @@
         is_enabled: Whether the settings allow gossip and there is another limiter.
         interval: Mean time between two messages of a limiter.
         peer_load: The load of the other limiters.
-        usage: The customers' use through all limiters.
+        usage_table: The customers' use through all limiters.
         last_message_at: Time of the last message received; minus infinity before the first one.
     """
 
@@ -59,15 +59,17 @@
         """Start with nothing to send and nothing received."""
         settings = context.settings
         peers = settings.limiter_count - 1
-        intake_per_second = settings.gossip_intake_per_second
+        intake_per_second = settings.max_received_gossip_per_second
         self._context = context
         self._plans = settings.plans
         self.is_enabled = settings.may_gossip and intake_per_second > 0 and peers > 0
         # A receiver gets messages at the same rate in a fleet of any size: in a larger one each limiter sends
         # fewer.
-        self.interval = max(MIN_INTERVAL_MS, 1000.0 * peers / max(INTAKE_SHARE * intake_per_second, 1e-9))
+        self.interval = max(
+            MIN_GOSSIP_INTERVAL_MS, 1000.0 * peers / max(MAX_INTAKE_FRACTION * intake_per_second, 1e-9)
+        )
         self.peer_load = PeerLoad()
-        self.usage = GossipedUsageTable(sample_interval=max(UPDATE_INTERVAL_MS, 2 * self.interval))
+        self.usage_table = GossipedUsageTable(sample_interval=max(UPDATE_INTERVAL_MS, 2 * self.interval))
         self.last_message_at = -math.inf
         self._is_scheduled = False
         # Units by plan index and customer; those that have waited for longest come first.
@@ -87,13 +89,13 @@
         """Note the mean latency of an attempt, over all limiters."""
         self._mean_latency = latency
 
-    def usage_of(self, now: float, customer: int, plan_index: int) -> GossipedUsage:
+    def get_usage(self, now: float, customer: int, plan_index: int) -> GossipedUsage:
         """Return a customer's use as of `now`."""
-        return self.usage.find(now, customer, self._plans[plan_index], self._mean_latency)
+        return self.usage_table.find(now, customer, self._plans[plan_index], self._mean_latency)
 
-    def quota_of(self, now: float, request: ClientRequest) -> GossipedQuota:
+    def estimate_quota(self, now: float, request: ClientRequest) -> GossipedQuota:
         """Return what is left of the quota of a request's customer, as of `now`."""
-        usage = self.usage_of(now, request.customer, request.plan)
+        usage = self.get_usage(now, request.customer, request.plan)
         # On average, half an interval of the other limiters' use has not arrived yet.
         unreceived = usage.utilization * usage.plan.rate / 1000 * self.interval / 2
         return GossipedQuota(usage.tokens - unreceived, usage.probability)
@@ -103,11 +105,11 @@
         fresh_since = max(self.last_message_at, self._context.started_at)
         return self.is_enabled and now - fresh_since < MAX_INTERVALS_WITHOUT_MESSAGE * self.interval
 
-    def record_forwarded(self, now: float, customer: int, plan_index: int, units: float) -> None:
+    def record_forwarded_units(self, now: float, customer: int, plan_index: int, units: float) -> None:
         """Account for a request that was forwarded from here, and queue its units for the next messages."""
         if not self.is_enabled:
             return
-        self.usage_of(now, customer, plan_index).record_forwarded(units)
+        self.get_usage(now, customer, plan_index).record_forwarded_units(units)
         key = (plan_index, customer)
         self._unsent[key] = self._unsent.get(key, 0.0) + units
 
@@ -116,7 +118,7 @@
         if self.is_enabled and not self._is_scheduled:
             self._is_scheduled = True
             jitter = self._context.random.uniform(1 - INTERVAL_JITTER, 1 + INTERVAL_JITTER)
-            self._context.set_timer(self.interval * jitter, Timer.USAGE_GOSSIP)
+            self._context.set_timer(self.interval * jitter, TimerToken.USAGE_GOSSIP)
 
     def send(self, in_flight: int, latency: float) -> None:
         """Send the message that is due.
@@ -126,9 +128,9 @@
             latency: Mean latency of an attempt from here.
         """
         self._is_scheduled = False
-        self._context.actions.append(BroadcastGossip(self.encode(in_flight, latency)))
+        self._context.actions.append(BroadcastGossip(self.encode_message(in_flight, latency)))
 
-    def encode(self, in_flight: int, latency: float) -> bytes:
+    def encode_message(self, in_flight: int, latency: float) -> bytes:
         """Return one message with this limiter's load and as many unsent units as fit.
 
         Fractions of a unit stay unsent.
@@ -152,6 +154,6 @@
         if message is None or not self.is_enabled:
             return
         self.last_message_at = now
-        self.peer_load.add(now, message.in_flight, message.latency_ms)
+        self.peer_load.add_message(now, message.in_flight, message.latency_ms)
         for entry in message.entries:
-            self.usage_of(now, entry.customer, entry.plan).record_forwarded(entry.units)
+            self.get_usage(now, entry.customer, entry.plan).record_forwarded_units(entry.units)
--- a/limiter/policy/usage_report.py
+++ b/limiter/policy/usage_report.py
@@ -59,7 +59,7 @@
         sample_wanted_since: Since when a sample has been wanted; None while there is none to wait for.
         next_call_at: Time before which no further call is made.
         call_started_at: Time at which the last call was made.
-        failed_calls: Calls without a total, in a row.
+        consecutive_failed_calls: Calls without a total, in a row.
     """
 
     unreported_units: float = 0.0
@@ -74,18 +74,18 @@
     sample_wanted_since: float | None = None
     next_call_at: float = 0.0
     call_started_at: float = 0.0
-    failed_calls: int = 0
+    consecutive_failed_calls: int = 0
 
     @property
     def is_call_in_flight(self) -> bool:
         """Whether a call is in flight: there is never a second one for the same customer."""
         return self.units_in_call is not None
 
-    def add(self, units: float) -> None:
+    def add_unreported(self, units: float) -> None:
         """Add units that were forwarded, or take back units that were reported ahead, if negative."""
         self.unreported_units += units
 
-    def replace(self, units: float) -> None:
+    def set_unreported(self, units: float) -> None:
         """Report just these units in the next call: in a slot only what asks for the reply counts."""
         self.unreported_units = units
 
@@ -146,7 +146,7 @@
             units: The units of the call.
             is_uncertain: Whether they may have been added all the same.
         """
-        self.failed_calls += 1
+        self.consecutive_failed_calls += 1
         if is_uncertain:
             self.unconfirmed_units += units
         else:
@@ -161,5 +161,5 @@
         self.total = total
         self.total_at = now
         self.unconfirmed_units = 0.0
-        self.failed_calls = 0
+        self.consecutive_failed_calls = 0
         self.sample_wanted_since = None
--- a/limiter/policy/usage_reporting.py
+++ b/limiter/policy/usage_reporting.py
@@ -33,14 +33,14 @@
         self._sampler = sampler
         self._housekeeping = housekeeping
 
-    def report(self, now: float, request: OpenRequest, *, is_admitted: bool) -> None:
+    def report_after_decision(self, now: float, request: OpenRequest, *, is_admitted: bool) -> None:
         """Report the use after a decision: at once where the quota is nearly used, else some time later."""
         customer = request.customer
         if customer.is_widely_shared:
             return
         is_urgent = is_admitted and self._is_near_quota(customer)
         if is_urgent or not request.admission.within_quota:
-            self._sampler.call(now, customer)
+            self._sampler.call_counter(now, customer)
         if customer.report.unreported_units:
             self._housekeeping.schedule(now, REPORT_DELAY_MS, customer)
 
@@ -52,12 +52,12 @@
         is_nearly_used = customer.usage.tokens < burst * NEAR_QUOTA_SHARE
         return is_nearly_used or not customer.usage.has_sample or owed > burst
 
-    def report_overdue(self, now: float, customer: Customer) -> None:
+    def report_overdue_usage(self, now: float, customer: Customer) -> None:
         """Report use that has waited for long."""
         if self.has_use_to_report(customer) and now - customer.usage.sampled_at > REPORT_DELAY_MS:
-            self._sampler.call(now, customer)
+            self._sampler.call_counter(now, customer)
 
-    def check_again(self, now: float, customer: Customer) -> None:
+    def schedule_recheck(self, now: float, customer: Customer) -> None:
         """Look at the customer again if use is left to report."""
         if self.has_use_to_report(customer):
             self._housekeeping.schedule(now, RETRY_DELAY_MS, customer)
--- a/limiter/policy/usage_sampling.py
+++ b/limiter/policy/usage_sampling.py
@@ -79,7 +79,7 @@
         """Calls that have not ended yet."""
         return len(self._in_flight)
 
-    def call(self, now: float, customer: Customer) -> bool:
+    def call_counter(self, now: float, customer: Customer) -> bool:
         """Report the customer's use, or only read the total.
 
         Returns:
@@ -161,10 +161,10 @@
             report.mark_call_failed(added, is_uncertain=reply.outcome is Outcome.TIMEOUT)
             return customer
         if customer.is_widely_shared:
-            self._record_total(now, customer, reply.total - report.reserved_units)
+            self._record_total(now, customer, reply.total_units - report.reserved_units)
         else:
-            self._record_growth(now, customer, reply.total, added)
-        report.record_total(now, reply.total)
+            self._record_growth(now, customer, reply.total_units, added)
+        report.record_total(now, reply.total_units)
         return customer
 
     def _adjust_call_probability(self, reply: CounterReply) -> None:
@@ -197,7 +197,7 @@
             customer.usage.record_slot_total(plan, used, elapsed, slot_units(plan))
             return
         # The bucket is taken to have begun the epoch as recent decisions left it.
-        tokens_at_start = plan.burst * customer.admit_share**START_FILL_EXPONENT
+        tokens_at_start = plan.burst * customer.admitted_fraction**START_FILL_EXPONENT
         customer.usage.record_epoch_total(now, plan, used, elapsed, tokens_at_start)
 
     def _record_growth(self, now: float, customer: Customer, total: float, added: float) -> None:
--- a/limiter/process/shutdown.py
+++ b/limiter/process/shutdown.py
@@ -44,16 +44,16 @@
 
 async def shut_down_gracefully(listener: Listener, proxy: Proxy) -> None:
     """Finish the requests in hand, as far as there is time for them, and close all client connections."""
-    log.info("stopping unanswered_requests=%d", len(proxy.requests.unanswered()))
+    log.info("stopping unanswered_requests=%d", len(proxy.requests.list_unanswered()))
     loop = asyncio.get_running_loop()
     requests_end_at = loop.time() + shutdown_seconds(proxy.settings)
     listener.start_draining()
     await asyncio.sleep(ACCEPT_AFTER_SIGTERM_SECONDS)
     listener.stop_accepting()
-    await _wait_while(listener.close_idle, requests_end_at)
-    listener.stop_requests()
-    for request in proxy.requests.unanswered():
-        proxy.forwarder.end(request)
+    await _wait_while(listener.close_idle_connections, requests_end_at)
+    listener.reject_new_requests()
+    for request in proxy.requests.list_unanswered():
+        proxy.forwarder.end_request(request)
     await _wait_while(listener.has_connections, loop.time() + FLUSH_SECONDS)
     listener.abort()
 
--- a/limiter/process/startup.py
+++ b/limiter/process/startup.py
@@ -33,7 +33,7 @@
     loop = asyncio.get_running_loop()
     clock = Clock()
     with closing(Proxy(config, clock)) as proxy:
-        proxy.discovery.set_known_endpoints(config.known_endpoints)
+        proxy.discovery.load_configured_endpoints(config.known_endpoints)
         stop_requested = asyncio.Event()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, stop_requested.set)
@@ -42,7 +42,7 @@
         _exclude_from_garbage_collection()
         # Servers may have drained while this process did not run, so no request is accepted before discovery
         # has responded.
-        await _wait_for_any(DISCOVERY_WAIT_SECONDS, proxy.discovery.first_response, stop_requested)
+        await _wait_for_any(DISCOVERY_WAIT_SECONDS, proxy.discovery.first_list_received, stop_requested)
         listener = Listener(config, proxy, clock)
         host, port = listener.socket.getsockname()[:2]
         log.info("listening name=%s address=%s:%d", config.name, host, port)
--- a/limiter/simulator/action_encoder.py
+++ b/limiter/simulator/action_encoder.py
@@ -104,7 +104,7 @@
 
 def _encode_increment_counter(instance: int, action: IncrementCounter) -> bytes:
     return _INCREMENT_COUNTER.pack(
-        INCREMENT_COUNTER, instance, action.time_to_live, action.key, action.amount
+        INCREMENT_COUNTER, instance, action.time_to_live, action.key, action.units_to_add
     )
 
 
--- a/limiter/simulator/event_decoder.py
+++ b/limiter/simulator/event_decoder.py
@@ -62,7 +62,7 @@
 OUTCOMES = {
     200: Outcome.OK,
     408: Outcome.TIMEOUT,
-    409: Outcome.REQUEST_OVER,
+    409: Outcome.REQUEST_ENDED,
     429: Outcome.REJECTED,
     444: Outcome.CANCELLED,
     502: Outcome.ERROR,
--- a/limiter/transport/backoff.py
+++ b/limiter/transport/backoff.py
@@ -6,7 +6,7 @@
 
 # Largest part by which a delay is longer or shorter, so that clients which failed together do not return
 # together.
-JITTER = 0.2
+JITTER_FRACTION = 0.2
 
 
 class Backoff:
@@ -25,9 +25,9 @@
         self._max_seconds = max_seconds
         self._delay_seconds = first_seconds
 
-    def next_delay(self) -> float:
+    def next_delay_seconds(self) -> float:
         """Return the seconds to wait now, and double the delay for the next failure."""
-        delay_seconds = self._delay_seconds * random.uniform(1 - JITTER, 1 + JITTER)
+        delay_seconds = self._delay_seconds * random.uniform(1 - JITTER_FRACTION, 1 + JITTER_FRACTION)
         self._delay_seconds = min(self._max_seconds, 2 * self._delay_seconds)
         return delay_seconds
 
--- a/limiter/transport/clients/client_connection.py
+++ b/limiter/transport/clients/client_connection.py
@@ -10,7 +10,7 @@
 from limiter.transport.clients.client_response import LocalResponse, encode_response
 from limiter.transport.clients.request_parser import ParsedRequest, RequestParser
 from limiter.transport.driver.proxied_request import ProxiedRequest
-from limiter.transport.sockets import has_peer_hung_up, has_unread_input
+from limiter.transport.sockets import has_peer_disconnected, has_unread_input
 
 # Requests that may wait on a connection behind the current one. More are bad input.
 MAX_PIPELINED_REQUESTS = 16
@@ -98,7 +98,7 @@
         "_parser",
         "_state",
         "current",
-        "pipelined",
+        "pipelined_requests",
         "transport",
     )
 
@@ -114,7 +114,9 @@
         self.transport: asyncio.Transport | None = None
         self._parser: RequestParser | None = RequestParser(self._request_read)
         self.current: ProxiedRequest | None = None
-        self.pipelined: deque[QueuedRequest] = deque()  # They wait behind the current one, in their order.
+        self.pipelined_requests: deque[QueuedRequest] = (
+            deque()
+        )  # They wait behind the current one, in their order.
         self._state = ConnectionState.OPEN
         self._is_overflow = False  # It is one connection too many: its requests are rejected at once.
         self._discarded_bytes = 0
@@ -190,9 +192,9 @@
             self._parser = None
 
     def _disconnect_requests(self) -> None:
-        unanswered = [self.current, *self.pipelined]
+        unanswered = [self.current, *self.pipelined_requests]
         self.current = None
-        self.pipelined = deque()
+        self.pipelined_requests = deque()
         for request in unanswered:
             if isinstance(request, ProxiedRequest):
                 self._handler.client_disconnected(request)
@@ -204,11 +206,11 @@
         self._observer.request_completed(self)
         if not request.keep_alive:
             self._state = ConnectionState.CLOSING
-        if len(self.pipelined) >= MAX_PIPELINED_REQUESTS:
+        if len(self.pipelined_requests) >= MAX_PIPELINED_REQUESTS:
             return TOO_MANY_PIPELINED
         queued = self._handler.prepare(self, request)
         if self.has_unanswered_requests:
-            self.pipelined.append(queued)
+            self.pipelined_requests.append(queued)
         else:
             self._start(queued)
         return None
@@ -225,8 +227,8 @@
             self._handler.submit(request)
 
     def _start_next(self) -> None:
-        if self.current is None and self.pipelined:
-            self._start(self.pipelined.popleft())
+        if self.current is None and self.pipelined_requests:
+            self._start(self.pipelined_requests.popleft())
 
     def write_response(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
@@ -245,9 +247,9 @@
         if transport is None or transport.is_closing():
             return
         is_closing = self._state is not ConnectionState.OPEN or self._handler.is_draining
-        close = is_closing and not self.pipelined
+        close = is_closing and not self.pipelined_requests
         transport.write(encode_response(status, body, content_type, retry_after_ms, close=close))
-        if self.pipelined:
+        if self.pipelined_requests:
             asyncio.get_running_loop().call_soon(self._start_next)
         elif not close:
             self._observer.connection_idle(self)
@@ -268,7 +270,7 @@
     @property
     def has_unanswered_requests(self) -> bool:
         """Whether a request here is still owed its response."""
-        return self.current is not None or bool(self.pipelined)
+        return self.current is not None or bool(self.pipelined_requests)
 
     @property
     def has_unread_input(self) -> bool:
@@ -281,7 +283,7 @@
 
     def has_hung_up(self) -> bool:
         """Return whether the client has closed its connection, even if the loop has not read that yet."""
-        return self.transport is None or has_peer_hung_up(self.transport)
+        return self.transport is None or has_peer_disconnected(self.transport)
 
     def close(self) -> None:
         """Close a connection without requests in hand; at once if its client does not read its responses."""
--- a/limiter/transport/clients/connection_registry.py
+++ b/limiter/transport/clients/connection_registry.py
@@ -121,7 +121,7 @@
                 return True
         return False
 
-    def close_expired(self) -> None:
+    def close_expired_connections(self) -> None:
         """Close the connections that have been in their state for too long."""
         now = time.monotonic()
         self._close_without_input(self.new, now - READ_TIMEOUT_SECONDS)
--- a/limiter/transport/clients/listener.py
+++ b/limiter/transport/clients/listener.py
@@ -97,7 +97,7 @@
 
     def _sweep(self) -> None:
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
-        self.registry.close_expired()
+        self.registry.close_expired_connections()
 
     # Graceful shutdown, in this order
 
@@ -115,12 +115,12 @@
         self._loop.remove_reader(self.socket)
         self.socket.close()
 
-    def close_idle(self) -> bool:
+    def close_idle_connections(self) -> bool:
         """Close all connections that are between requests; return whether any connection is left."""
         self.registry.close_idle()
         return bool(self.registry.connections or self._connecting)
 
-    def stop_requests(self) -> None:
+    def reject_new_requests(self) -> None:
         """From now on reject the requests that are read."""
         self._handler.stop()
 
--- a/limiter/transport/counter/counter_client.py
+++ b/limiter/transport/counter/counter_client.py
@@ -151,7 +151,7 @@
                     backoff.reset()
                     is_failure_logged = False
                     continue
-            await asyncio.sleep(backoff.next_delay())
+            await asyncio.sleep(backoff.next_delay_seconds())
 
     async def _connect(self) -> CounterConnection:
         async with asyncio.timeout(self._dial_timeout_seconds):
--- a/limiter/transport/discovery/discovery_watch.py
+++ b/limiter/transport/discovery/discovery_watch.py
@@ -98,10 +98,10 @@
         self._backoff = Backoff(FIRST_BACKOFF_SECONDS, options.pacing.max_backoff_seconds)
         self._task: asyncio.Task[None] | None = None
         self._is_failure_logged = False  # Since the last success; a fault that lasts is logged once.
-        self.first_response = asyncio.Event()  # Set once discovery has sent a list since the start.
+        self.first_list_received = asyncio.Event()  # Set once discovery has sent a list since the start.
         self.poll_allowed = asyncio.Event()  # Cleared by a failed call, set by `allow_next_poll`.
 
-    def set_known_endpoints(self, document: object) -> None:
+    def load_configured_endpoints(self, document: object) -> None:
         """Report the endpoint list of the configuration, which may be old.
 
         The first call then asks for the changes since this list: a full list costs discovery a line for each
@@ -120,7 +120,7 @@
             known = parse_endpoint_list(document, self._names)
         except MemberListError as error:
             raise ConfigError(key="known", problem=str(error)) from error
-        self._version = None if self._pacing.is_pushed else known.version
+        self._version = None if self._pacing.uses_local_agent else known.version
         self._on_changed(known.entries, is_full_list=True, from_cache=True)
 
     def allow_next_poll(self) -> None:
@@ -169,7 +169,7 @@
             return isinstance(error, DiscoveryOverloadedError)
         finally:
             if connection is not None:
-                connection.drop()
+                connection.close_immediately()
         return False
 
     def _handle_failure(self, error: Exception) -> None:
@@ -182,8 +182,8 @@
             self._version = None
 
     async def _wait_to_retry(self, *, is_overloaded: bool) -> None:
-        delay_seconds = self._backoff.next_delay()
-        if self._pacing.is_pushed:
+        delay_seconds = self._backoff.next_delay_seconds()
+        if self._pacing.uses_local_agent:
             # No other limiter calls this agent, so the time of the next call need not be agreed on.
             await asyncio.sleep(delay_seconds)
             return
@@ -232,8 +232,8 @@
         self._is_current = True
         # Where all limiters share a discovery, the policy has to hear of each success, even of one without
         # changes, since it has heard of each failure.
-        if received.entries or received.is_full or not self._pacing.is_pushed:
+        if received.entries or received.is_full or not self._pacing.uses_local_agent:
             self._on_changed(received.entries, is_full_list=is_full, from_cache=False)
-        if not self.first_response.is_set():
+        if not self.first_list_received.is_set():
             log.info("discovery_list_received version=%d entries=%d", received.version, len(received.entries))
-            self.first_response.set()
+            self.first_list_received.set()
--- a/limiter/transport/discovery/endpoint_list.py
+++ b/limiter/transport/discovery/endpoint_list.py
@@ -127,7 +127,7 @@
         state=state,
         zone=names.zone_number(zone),
         cell=int(cell),
-        kind=names.kind_number(kind),
+        machine_type=names.kind_number(kind),
         weight=float(weight),
         started_at=float(started_at_ms),
     )
--- a/limiter/transport/discovery/poll_pacing.py
+++ b/limiter/transport/discovery/poll_pacing.py
@@ -37,25 +37,27 @@
         long_poll_ms: how long a call waits for a change.
         grace_seconds: time beyond the long poll after which a call has failed; also bounds a dial.
         max_backoff_seconds: longest delay between two failed calls.
-        is_pushed: whether an agent on this machine is called. Its calls cost nothing, a full list costs no
-            more than its changes, and no other limiter uses it.
+        uses_local_agent: whether an agent on this machine is called. Its calls cost nothing, a full list
+            costs no more than its changes, and no other limiter uses it.
     """
 
     long_poll_ms: int
     grace_seconds: float
     max_backoff_seconds: float
-    is_pushed: bool
+    uses_local_agent: bool
 
     @classmethod
-    def for_fleet(cls, limiter_count: int, *, is_pushed: bool) -> PollPacing:
+    def for_fleet(cls, limiter_count: int, *, uses_local_agent: bool) -> PollPacing:
         """Choose the pacing for a fleet.
 
         Args:
             limiter_count: number of limiters that call the same discovery.
-            is_pushed: whether each limiter has an agent of its own instead.
+            uses_local_agent: whether each limiter has an agent of its own instead.
         """
-        if is_pushed:
-            return cls(PUSHED_LONG_POLL_MS, PUSHED_GRACE_SECONDS, FIRST_BACKOFF_SECONDS, is_pushed=True)
+        if uses_local_agent:
+            return cls(
+                PUSHED_LONG_POLL_MS, PUSHED_GRACE_SECONDS, FIRST_BACKOFF_SECONDS, uses_local_agent=True
+            )
         fair_share_ms = round(1000 * limiter_count / MAX_CALLS_PER_SECOND)
         long_poll_ms = min(MAX_LONG_POLL_MS, max(MIN_LONG_POLL_MS, fair_share_ms))
-        return cls(long_poll_ms, GRACE_SECONDS, MAX_BACKOFF_SECONDS, is_pushed=False)
+        return cls(long_poll_ms, GRACE_SECONDS, MAX_BACKOFF_SECONDS, uses_local_agent=False)
--- a/limiter/transport/driver/proxied_request.py
+++ b/limiter/transport/driver/proxied_request.py
@@ -6,7 +6,7 @@
 import itertools
 from typing import Protocol
 
-from limiter.model.events import NEVER_RAN, ClientRequest, Outcome
+from limiter.model.events import NOT_EXECUTED_OUTCOMES, ClientRequest, Outcome
 from limiter.transport.servers.attempt import Attempt
 
 
@@ -37,12 +37,12 @@
         "_deadline_timer",
         "_expires_at_ms",
         "attempt_count",
+        "attempts_in_flight",
         "body",
         "client_request_id",
         "event",
         "finished",
         "head",
-        "in_flight",
         "may_have_run",
     )
 
@@ -72,7 +72,7 @@
         self._expires_at_ms = event.expires_at
         # How many attempts were begun, which is also the number of the next one.
         self.attempt_count = 0
-        self.in_flight: list[Attempt] = []
+        self.attempts_in_flight: list[Attempt] = []
         self.may_have_run = False  # An outcome of its attempts says that a server may have run it.
         self.finished = False
         self._deadline_timer: asyncio.TimerHandle | None = None
@@ -127,12 +127,12 @@
     def attempt_started(self, attempt: Attempt) -> None:
         """Note that an attempt was begun."""
         self.attempt_count += 1
-        self.in_flight.append(attempt)
+        self.attempts_in_flight.append(attempt)
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
         """Note that an attempt has ended."""
-        self.in_flight.remove(attempt)
-        if outcome not in NEVER_RAN:
+        self.attempts_in_flight.remove(attempt)
+        if outcome not in NOT_EXECUTED_OUTCOMES:
             self.may_have_run = True
 
 
@@ -165,7 +165,7 @@
         """Return whether a request was submitted and is not released."""
         return request.event.id in self.by_number
 
-    def unanswered(self) -> list[ProxiedRequest]:
+    def list_unanswered(self) -> list[ProxiedRequest]:
         """Return the requests that are still owed a response."""
         return [request for request in self.by_number.values() if not request.finished]
 
@@ -187,7 +187,7 @@
 
     def release_if_done(self, request: ProxiedRequest) -> None:
         """Release what is finished and has no attempt in flight: no record or timer may outlive it."""
-        if not request.finished or request.in_flight:
+        if not request.finished or request.attempts_in_flight:
             return
         request.cancel_deadline_timer()
         self.by_number.pop(request.event.id, None)
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -74,12 +74,12 @@
         self._clock = clock
         self.settings = config.settings
         self.engine = PolicyEngine(config.settings, config.seed)
-        self.pool = ServerPool(
+        self.server_pool = ServerPool(
             dial_timeout_ms=config.dial_timeout_ms,
             keepalive_ms=config.keepalive_ms,
             max_connections=config.descriptor_share(SERVER_CONNECTION_SHARE),
         )
-        self.forwarder = RequestForwarder(clock, config.settings, self.pool, self._handle_event)
+        self.forwarder = RequestForwarder(clock, config.settings, self.server_pool, self._handle_event)
         self.requests = self.forwarder.requests
         self.counter = self._make_counter(config)
         self._gossip = self._make_gossip(config)
@@ -109,9 +109,11 @@
             address=config.discovery,
             names=NameNumbering(config.zone_names, config.kind_names),
             dial_timeout_ms=config.dial_timeout_ms,
-            pacing=PollPacing.for_fleet(settings.limiter_count, is_pushed=not settings.polls_discovery),
+            pacing=PollPacing.for_fleet(
+                settings.limiter_count, uses_local_agent=not settings.polls_discovery
+            ),
         )
-        return DiscoveryWatch(options, self.servers_changed, self._discovery_failed)
+        return DiscoveryWatch(options, self.apply_endpoint_list, self._discovery_failed)
 
     @property
     def ready(self) -> bool:
@@ -120,7 +122,7 @@
 
     # Events from outside
 
-    def servers_changed(
+    def apply_endpoint_list(
         self, servers: list[ListedEndpoint], is_full_list: bool, from_cache: bool = False
     ) -> None:
         """Apply the endpoint list, or what changed of it.
@@ -139,19 +141,19 @@
 
     def _apply_endpoint(self, endpoint: Endpoint, address: Address) -> None:
         if endpoint.state is EndpointState.GONE:
-            self.pool.remove(endpoint.id)
+            self.server_pool.remove(endpoint.id)
         else:
-            self.pool.update(endpoint.id, address, endpoint.started_at)
+            self.server_pool.add_or_replace(endpoint.id, address, endpoint.started_at)
         if endpoint.state is EndpointState.READY:
             self._ready_servers.add(endpoint.id)
         else:
             self._ready_servers.discard(endpoint.id)
-            self.pool.drain(endpoint.id)
+            self.server_pool.drain(endpoint.id)
 
     def _remove_unlisted(self, listed: set[EndpointId]) -> None:
         self._ready_servers &= listed
-        for server_id in [server_id for server_id in self.pool.servers if server_id not in listed]:
-            self.pool.remove(server_id)
+        for server_id in [server_id for server_id in self.server_pool.servers if server_id not in listed]:
+            self.server_pool.remove(server_id)
 
     def _discovery_failed(self, rejected: bool) -> None:
         """Note that a poll brought no list; `rejected` says that discovery turned it away."""
@@ -191,13 +193,13 @@
 
     def _increment_counter(self, action: IncrementCounter) -> None:
         if self.counter is not None:
-            self.counter.add(action.key, action.amount, action.time_to_live)
+            self.counter.add(action.key, action.units_to_add, action.time_to_live)
 
     def _set_timer(self, action: SetTimer) -> None:
         due_ms = self._clock() + action.delay
-        self._loop.call_later(action.delay / 1000, self.fire_timer, due_ms, action.token)
+        self._loop.call_later(action.delay / 1000, self.deliver_timer_when_due, due_ms, action.token)
 
-    def fire_timer(self, due_ms: float, token: int) -> None:
+    def deliver_timer_when_due(self, due_ms: float, token: int) -> None:
         """Deliver TimerFired once the policy's clock has reached the timer's time.
 
         The loop's time is that of its turn's start, so its timers may come early by the length of a turn; the
@@ -205,7 +207,7 @@
         """
         early_ms = due_ms - self._clock()
         if early_ms > 0:
-            self._loop.call_later(math.ceil(early_ms) / 1000, self.fire_timer, due_ms, token)
+            self._loop.call_later(math.ceil(early_ms) / 1000, self.deliver_timer_when_due, due_ms, token)
         else:
             self._handle_event(TimerFired(token))
 
@@ -216,7 +218,7 @@
     # The process
 
     def _sweep(self) -> None:
-        self.pool.close_expired()
+        self.server_pool.close_expired_connections()
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     def close(self) -> None:
@@ -227,4 +229,4 @@
             self.counter.close()
         if self._gossip is not None:
             self._gossip.close()
-        self.pool.close()
+        self.server_pool.close()
--- a/limiter/transport/driver/request_forwarder.py
+++ b/limiter/transport/driver/request_forwarder.py
@@ -88,20 +88,20 @@
             # It was noticed before and released: the client's id may be another request's by now.
             return
         request.finish()
-        for attempt in request.in_flight:
+        for attempt in request.attempts_in_flight:
             attempt.cancel_unsent(Outcome.CANCELLED)
         # The policy has not seen a request that is not submitted, and has seen the end of a finished one.
         if is_submitted and not was_finished:
             self._handle_event(ClientDisconnected(request.event.id))
         self.requests.release_if_done(request)
 
-    def end(self, request: ProxiedRequest) -> None:
+    def end_request(self, request: ProxiedRequest) -> None:
         """End a request now: its attempts time out, and it gets its response.
 
         The policy may respond as the attempts time out. If it does not, the response is made here.
         """
         request.expire(self._clock())
-        for attempt in request.in_flight[:]:
+        for attempt in request.attempts_in_flight[:]:
             attempt.abandon()
         if not request.finished:
             self._respond_at_deadline(request)
@@ -127,7 +127,7 @@
         if remaining_ms > TIMER_TOLERANCE_MS:
             self._start_deadline_timer(request, remaining_ms)
         else:
-            self.end(request)
+            self.end_request(request)
 
     # Attempts
 
@@ -145,7 +145,7 @@
         )
         request.attempt_started(attempt)
         if request.finish_if_hung_up() or timeout_ms <= 0 or attempt.number >= self._max_attempts:
-            self._loop.call_soon(attempt.end, Outcome.REQUEST_OVER)
+            self._loop.call_soon(attempt.end, Outcome.REQUEST_ENDED)
             return
         # An attempt that may last until its request's deadline is ended by the request's timer.
         has_own_timeout = timeout_ms < remaining_ms - TIMER_TOLERANCE_MS
@@ -153,7 +153,7 @@
 
     def _cancel_attempt(self, request: ProxiedRequest, number: int) -> None:
         """Stop waiting for an attempt."""
-        for attempt in request.in_flight:
+        for attempt in request.attempts_in_flight:
             if attempt.number == number:
                 self._loop.call_soon(attempt.abandon, Outcome.CANCELLED)
 
--- a/limiter/transport/http_response.py
+++ b/limiter/transport/http_response.py
@@ -31,7 +31,7 @@
     Attributes:
         transport: the connection's transport, None before it is open and after it is closed.
         is_receiving: whether a part of a response has come, but not all of it.
-        not_run: whether the response says that the request was not run.
+        is_marked_not_run: whether the response says that the request was not run.
         content_type: the response's content type, empty where it has none.
     """
 
@@ -46,8 +46,8 @@
         "_received_bytes",
         "_status",
         "content_type",
+        "is_marked_not_run",
         "is_receiving",
-        "not_run",
         "transport",
     )
 
@@ -78,7 +78,7 @@
         """Handle that no further response will come."""
         raise NotImplementedError
 
-    def drop(self) -> None:
+    def close_immediately(self) -> None:
         """Close the connection at once, and read nothing more."""
         self._parser = None
         if self.transport is not None:
@@ -101,7 +101,7 @@
         self._received_bytes += len(data)
         is_valid = self._parse(parser, data)
         if not is_valid:
-            self.drop()
+            self.close_immediately()
         # Responses are reported here: the parser would take an error of `response_received`, called within
         # one of its callbacks, for an error of its own.
         if self._is_complete:
@@ -133,7 +133,7 @@
         self._status = 0
         self._body_bytes = 0
         self._body_parts: list[bytes] = []
-        self.not_run = False
+        self.is_marked_not_run = False
         self.content_type = b""
 
     def _finish_response(self, *, is_valid: bool) -> None:
@@ -159,7 +159,7 @@
             raise ResponseError  # It belongs to a second response.
         name = name.lower()
         if name == b"x-not-run":
-            self.not_run = value.strip() == b"1"
+            self.is_marked_not_run = value.strip() == b"1"
         elif name == b"content-type":
             self.content_type = value
         elif name == b"content-length" and int(value) > self._max_body_bytes:
--- a/limiter/transport/servers/attempt.py
+++ b/limiter/transport/servers/attempt.py
@@ -73,7 +73,7 @@
         self._timeout_timer: asyncio.TimerHandle | None = None
 
     @property
-    def is_over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether it has ended."""
         return self._on_ended is None
 
@@ -99,15 +99,15 @@
         """Note that the dial can no longer be cancelled: it has ended, or its connection is used now."""
         self._dial_task = None
 
-    def write_begun(self, carrier: AttemptCarrier) -> None:
+    def record_write_start(self, carrier: AttemptCarrier) -> None:
         """Note that a connection carries it from now on."""
         self._carrier = carrier
 
-    def write_finished(self) -> None:
+    def record_write_end(self) -> None:
         """Note that the last byte of its request is with the kernel."""
         self.is_written = True
 
-    def connection_failed(self, *, is_stale: bool) -> None:
+    def end_on_connection_failure(self, *, is_stale: bool) -> None:
         """End it, since its connection has ended before the response.
 
         Args:
--- a/limiter/transport/servers/server_connection.py
+++ b/limiter/transport/servers/server_connection.py
@@ -14,7 +14,7 @@
 MAX_BODY_BYTES = 65536
 # Time within which more of a response that has begun must come. Servers send a response in one go, so one
 # that stops in between is broken, and would otherwise hold its request until the deadline.
-STALL_SECONDS = 0.15
+RESPONSE_STALL_TIMEOUT_SECONDS = 0.15
 # Further time after that, in which what the kernel received while this process was paused is read.
 STALL_RECHECK_SECONDS = 0.02
 
@@ -97,13 +97,13 @@
         transport = self.transport
         assert transport is not None
         self._attempt = attempt
-        attempt.write_begun(self)
+        attempt.record_write_start(self)
         if self._idle_since_seconds is not None:
             self._idle_before_seconds = attempt.started_at_seconds - self._idle_since_seconds
         transport.write(attempt.request_bytes)
         # A write that fails leaves the transport closing with an empty buffer; it was not written completely.
         if not transport.is_closing() and transport.get_write_buffer_size() == 0:
-            attempt.write_finished()
+            attempt.record_write_end()
 
     def abandon_attempt(self) -> None:
         """Close the connection without ending its attempt, which the caller ends."""
@@ -119,7 +119,7 @@
     def close(self) -> None:
         """Take an idle connection out of all lists, and close it."""
         self._owner.forget(self)
-        self.drop()
+        self.close_immediately()
 
     # Callbacks of the event loop and of the response parser
 
@@ -133,7 +133,7 @@
     def resume_writing(self) -> None:
         """Note that the request is with the kernel, since the write buffer is empty."""
         if self._attempt is not None and self.transport is not None and not self.transport.is_closing():
-            self._attempt.write_finished()
+            self._attempt.record_write_end()
 
     def data_received(self, data: bytes) -> None:
         """Read a part of the response, and watch that the rest follows in time."""
@@ -154,7 +154,7 @@
         """End the attempt with its response, and keep the connection if it can carry another."""
         attempt = self._attempt
         if attempt is None:  # This is a second response to one request.
-            self.drop()
+            self.close_immediately()
             return
         self._attempt = None
         if self._idle_before_seconds is not None:
@@ -163,7 +163,7 @@
         if keep_alive and attempt.is_written and not self._owner.is_retired:
             self.become_idle()
         else:
-            self.drop()
+            self.close_immediately()
         attempt.end(outcome, body, self.content_type)
 
     def connection_failed(self) -> None:
@@ -179,22 +179,22 @@
             is_stale = self._last_received_seconds < attempt.started_at_seconds
             if is_stale:
                 self._owner.record_reuse(self._idle_before_seconds, was_reset=True)
-        attempt.connection_failed(is_stale=is_stale)
+        attempt.end_on_connection_failure(is_stale=is_stale)
 
     def _outcome_of(self, status: int) -> Outcome:
         if status == 200:
             return Outcome.OK
-        if status in (503, 504) and self.not_run:
+        if status in (503, 504) and self.is_marked_not_run:
             return Outcome.REJECTED
         return Outcome.ERROR
 
     def _fail(self) -> None:
-        self.drop()
+        self.close_immediately()
         self.connection_failed()
 
     def _start_stall_timer(self) -> None:
         self._stall_timer = asyncio.get_running_loop().call_later(
-            STALL_SECONDS, self._check_stall, self._last_received_seconds
+            RESPONSE_STALL_TIMEOUT_SECONDS, self._check_stall, self._last_received_seconds
         )
 
     def _check_stall(self, last_received_seconds: float) -> None:
--- a/limiter/transport/servers/server_pool.py
+++ b/limiter/transport/servers/server_pool.py
@@ -14,7 +14,7 @@
 from limiter.transport.servers.server_connection import ServerConnection
 
 # Idle time before a connection is reused. Bytes that follow a response immediately have been seen by then.
-SETTLE_SECONDS = 0.01
+MIN_IDLE_BEFORE_REUSE_SECONDS = 0.01
 # Longest idle time at which a connection is reused, as a share of the servers' keepalive. A server closes
 # idle connections after its keepalive "at the latest", and resets what is written later.
 MAX_IDLE_SHARE_OF_KEEPALIVE = 0.5
@@ -42,7 +42,7 @@
 
     # Servers
 
-    def update(self, server_id: bytes, address: Address, started_at_ms: float) -> None:
+    def add_or_replace(self, server_id: bytes, address: Address, started_at_ms: float) -> None:
         """Add a server, or replace it where its address or start time (Unix milliseconds) has changed."""
         server = self.servers.get(server_id)
         if server is None or server.address != address or server.started_at_ms != started_at_ms:
@@ -64,7 +64,7 @@
             server.drain()
             server.retire()
 
-    def close_expired(self) -> None:
+    def close_expired_connections(self) -> None:
         """Close what was idle for too long: a server resets what is written after its keepalive."""
         now_seconds = time.monotonic()
         while (connection := self.connections.longest_idle()) is not None:
@@ -109,7 +109,7 @@
         now_seconds = time.monotonic()
         for connection in server.most_recently_used():
             idle_seconds = connection.idle_seconds(now_seconds)
-            if idle_seconds < SETTLE_SECONDS:
+            if idle_seconds < MIN_IDLE_BEFORE_REUSE_SECONDS:
                 continue
             if self._may_reuse(connection, idle_seconds):
                 server.take(connection)
@@ -152,9 +152,9 @@
     async def _dial(self, server: PooledServer, attempt: Attempt) -> None:
         """Open a connection and write the attempt on it, unless it is over or its client has disconnected."""
         connection = await self._open_connection(server)
-        if connection is None or connection.transport is None or attempt.is_over:
+        if connection is None or connection.transport is None or attempt.has_ended:
             if connection is not None:
-                connection.drop()
+                connection.close_immediately()
             attempt.end(Outcome.CONNECT_FAILED)
             return
         attempt.dial_finished()
--- a/limiter/transport/sockets.py
+++ b/limiter/transport/sockets.py
@@ -20,7 +20,7 @@
     return bool(poll.poll(0))
 
 
-def has_peer_hung_up(transport: asyncio.WriteTransport) -> bool:
+def has_peer_disconnected(transport: asyncio.WriteTransport) -> bool:
     """Whether the peer has closed, reset or half-closed the connection, even behind bytes yet unread."""
     if transport.is_closing():
         return True
--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from limiter.model.actions import SendAttempt
-from limiter.model.events import NEVER_RAN, AttemptEnded, Outcome
+from limiter.model.events import NOT_EXECUTED_OUTCOMES, AttemptEnded, Outcome
 from scale.hollow.context import Context
 from scale.hollow.requests import Attempt, Request, RequestLedger, RequestOwner
 from scale.hollow.server import Server
@@ -44,7 +44,7 @@
         attempt = Attempt(request, limiter, self._servers[action.endpoint_id], now, self._server_replied)
         if request.outcome is not None or timeout <= 0 or attempt.number >= self._max_attempts:
             request.attempt_began(attempt)
-            self._clock.call_at(now, self.end, attempt, Outcome.REQUEST_OVER)
+            self._clock.call_at(now, self.end, attempt, Outcome.REQUEST_ENDED)
             return
         if attempt.number == 0:
             self._record_forwarded(attempt)
@@ -68,7 +68,7 @@
         self.release(attempt)
         self._tally.attempt_ended(outcome)
         request = attempt.request
-        if outcome not in NEVER_RAN:
+        if outcome not in NOT_EXECUTED_OUTCOMES:
             request.ran()
         if outcome is Outcome.OK and request.outcome is None:
             self._ledger.end(request, RequestOutcome.SERVED)
--- a/scale/hollow/counter.py
+++ b/scale/hollow/counter.py
@@ -87,7 +87,7 @@
         if total is None or now >= total.expires_at:
             lifetime = min(call.time_to_live, self._parameters.max_time_to_live)
             total = CounterTotal(0.0, now + lifetime)
-        total = CounterTotal(total.value + call.amount, total.expires_at)
+        total = CounterTotal(total.value + call.units_to_add, total.expires_at)
         self.totals[call.key] = total
         return total.value
 
--- a/scale/hollow/result_lines.py
+++ b/scale/hollow/result_lines.py
@@ -9,14 +9,14 @@
 from typing import TypedDict
 
 from limiter.model.events import Outcome
-from limiter.policy.usage_gossip import INTAKE_SHARE
+from limiter.policy.usage_gossip import MAX_INTAKE_FRACTION
 from scale.hollow.gossip_age import AGE_STEP_MS
 from scale.hollow.plan import Fault
 from scale.hollow.simulation import Simulation
 from scale.hollow.tally import RequestOutcome, mean_and_max_rate, quantiles, ratio, rounded
 
 # Names of outcomes in result lines that differ from the enumeration's values of today.
-OUTCOME_RESULT_NAMES = {Outcome.REJECTED: "full", Outcome.REQUEST_OVER: "moot"}
+OUTCOME_RESULT_NAMES = {Outcome.REJECTED: "full", Outcome.REQUEST_ENDED: "moot"}
 QUANTILE_LEVELS = {"p50": 0.5, "p90": 0.9, "p99": 0.99}
 # Highest values that the histograms hold; a higher one counts as this one.
 MAX_AGE_STEPS = 10_000_000
@@ -200,7 +200,7 @@
 def _gossip_age_figures(simulation: Simulation) -> GossipAgeFigures:
     ages = simulation.gossip_ages
     intake = simulation.experiment.network.peer_intake
-    interval_ms = 1000 * (simulation.experiment.limiters - 1) / (INTAKE_SHARE * intake)
+    interval_ms = 1000 * (simulation.experiment.limiters - 1) / (MAX_INTAKE_FRACTION * intake)
     return {
         "telling_interval_ms": rounded(interval_ms),
         "news_pairs": ages.expected,
--- a/scale/process/engine_benchmark.py
+++ b/scale/process/engine_benchmark.py
@@ -17,7 +17,7 @@
     Outcome,
     TimerFired,
 )
-from limiter.policy.context import Timer
+from limiter.policy.context import TimerToken
 from limiter.policy.engine import PolicyEngine
 from limiter.policy.throttle import UPDATE_INTERVAL_MS
 from scale.process.fleet import MAX_LIMITER_SET_SIZE, plan_of, settings_document
@@ -85,7 +85,7 @@
     def receive_gossip(self, sender: int, body: bytes) -> None:
         """Hand another limiter's message to the engine, and note its sender if the engine took it in."""
         self.feed("message", GossipReceived(sender, body))
-        gossip = self._engine.gossip
+        gossip = self._engine.usage_gossip
         if gossip.last_message_at == self.now:
             self.gossip_senders.add(sender)
 
@@ -111,12 +111,12 @@
             if isinstance(action, SendAttempt):
                 attempts.append(action)
             elif isinstance(action, IncrementCounter):
-                total = max(1.0, action.amount)
+                total = max(1.0, action.units_to_add)
                 reply = CounterReply(action.key, Outcome.OK, total, COUNTER_LATENCY_MS)
                 actions += self.feed("counter_reply", reply)
-            elif isinstance(action, SetTimer) and action.token == Timer.USAGE_GOSSIP:
+            elif isinstance(action, SetTimer) and action.token == TimerToken.USAGE_GOSSIP:
                 # Usage is gossiped at once, so that no unreported usage accumulates.
-                self.feed("tell", TimerFired(Timer.USAGE_GOSSIP))
+                self.feed("tell", TimerFired(TimerToken.USAGE_GOSSIP))
         return attempts
 
     def end_attempt(self, attempt: SendAttempt) -> None:
--- a/scale/process/engine_sweep.py
+++ b/scale/process/engine_sweep.py
@@ -22,7 +22,7 @@
 from typing import TypedDict
 
 from limiter.model.events import Endpoint, EndpointsChanged, EndpointState
-from limiter.policy.usage_gossip import INTAKE_SHARE
+from limiter.policy.usage_gossip import MAX_INTAKE_FRACTION
 from scale.experiment import Progress, Record, ResultLine
 from scale.process.engine_benchmark import LATENCY_MS, EngineBenchmark
 from scale.process.fleet import (
@@ -42,7 +42,7 @@
 # before the last ones have sent theirs.
 ALL_REQUESTS_MS = 50_000.0
 # Interval between two messages that the engine receives, from whichever peers.
-GOSSIP_INTERVAL_MS = 1000.0 / (INTAKE_SHARE * GOSSIP_INTAKE_PER_S)
+GOSSIP_INTERVAL_MS = 1000.0 / (MAX_INTAKE_FRACTION * GOSSIP_INTAKE_PER_S)
 # Requests to send for each attempt that is to stay in flight, at most, as some requests are rejected.
 MAX_REQUESTS_PER_IN_FLIGHT = 4
 
--- a/scale/process/fleet_load.py
+++ b/scale/process/fleet_load.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from limiter.policy.usage_gossip import INTAKE_SHARE, MIN_INTERVAL_MS
+from limiter.policy.usage_gossip import MAX_INTAKE_FRACTION, MIN_GOSSIP_INTERVAL_MS
 from limiter.transport.discovery.poll_pacing import PollPacing
 
 
@@ -39,10 +39,10 @@
 
     A change of the list ends all watches. A watch without a change ends after the time that its pacing gives.
     """
-    pacing = PollPacing.for_fleet(fleet.limiters, is_pushed=fleet.discovery_is_pushed)
+    pacing = PollPacing.for_fleet(fleet.limiters, uses_local_agent=fleet.discovery_is_pushed)
     watch_s = pacing.long_poll_ms / 1000
     peers = fleet.limiters - 1
-    interval_s = max(MIN_INTERVAL_MS / 1000, peers / (INTAKE_SHARE * fleet.gossip_intake_per_s))
+    interval_s = max(MIN_GOSSIP_INTERVAL_MS / 1000, peers / (MAX_INTAKE_FRACTION * fleet.gossip_intake_per_s))
     return FleetLoad(
         discovery_calls=fleet.limiters * max(fleet.changes_per_s, 1 / watch_s),
         discovery_entries=fleet.limiters * fleet.changes_per_s,
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -6,7 +6,7 @@
 
 from limiter.model.actions import PollDiscovery, RejectRequest
 from limiter.model.events import DiscoveryPollFailed, TimerFired
-from limiter.policy.context import Timer
+from limiter.policy.context import TimerToken
 from limiter.policy.customer import Customer
 from tests.support.policy_driver import PolicyDriver, make_driver
 
@@ -15,8 +15,8 @@
     driver: PolicyDriver, customer: Customer
 ) -> None:
     """The bucket fills by the quota less the remote rate."""
-    customer.usage.adopt_tokens(0.25)
-    customer.usage.adopt_probability(0.0)
+    customer.usage.set_tokens(0.25)
+    customer.usage.set_probability(0.0)
     customer.usage.remote_rate = 0.005  # half of 10 units a second
     customer.usage.refilled_at = driver.now
     rejections = [
@@ -35,7 +35,7 @@
     housekeeping.schedule(0.0, 500.0, customer)
     driver.engine.context.take_actions()
     driver.now = 100.0
-    assert driver.feed(TimerFired(Timer.HOUSEKEEPING)) == []
+    assert driver.feed(TimerFired(TimerToken.HOUSEKEEPING)) == []
     assert housekeeping.take_due(500.0) == [customer]
 
 
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -6,7 +6,7 @@
 
 from limiter.model.events import EndpointsChanged, Outcome
 from limiter.model.settings import RequestClass
-from limiter.policy.concurrency_limit import MIN_LIMIT
+from limiter.policy.concurrency_limit import MIN_CONCURRENCY_LIMIT
 from tests.support.policy_driver import PolicyDriver, endpoint, endpoint_id, make_driver
 from tests.support.policy_scenarios import NO_QUOTA
 
@@ -23,13 +23,13 @@
 def test_one_attempt_is_admitted_until_the_fleet_is_overloaded() -> None:
     """Each of many limiters may have one in flight, whatever its share of the capacity."""
     driver = make_driver(server_count=4, limiter_count=100, plans=NO_QUOTA)
-    concurrency = driver.engine.limit
+    concurrency = driver.engine.concurrency_limit
     driver.request(1)
     driver.request(2, customer=2)
     assert len(driver.in_flight()) == 2
-    assert concurrency.max_in_flight == MIN_LIMIT
+    assert concurrency.max_in_flight == MIN_CONCURRENCY_LIMIT
     pass_time(driver, 2900.0)  # Neither attempt ends.
-    assert concurrency.max_in_flight < MIN_LIMIT
+    assert concurrency.max_in_flight < MIN_CONCURRENCY_LIMIT
 
 
 def utilization_rise_after(completed: int) -> float:
@@ -39,14 +39,14 @@
     driver.now += 100.0
     driver.complete_in_flight()
     pass_time(driver, UPDATE_AFTER_MS)
-    before = driver.engine.limit.utilization
+    before = driver.engine.concurrency_limit.utilization
     for request_id in range(10, 10 + completed):
         driver.request(request_id, customer=request_id)
     assert len(driver.in_flight()) == completed
     driver.now += 350.0
     driver.complete_in_flight()
     pass_time(driver, 2 * UPDATE_AFTER_MS)
-    return driver.engine.limit.utilization - before
+    return driver.engine.concurrency_limit.utilization - before
 
 
 def test_utilization_moves_less_on_one_attempt_than_on_many() -> None:
@@ -67,7 +67,7 @@
 
 def test_a_warming_server_adds_little_to_the_concurrency_limit(driver: PolicyDriver) -> None:
     """Recorded incident icc5a2a: new servers counted in full and the warm ones got the surplus."""
-    concurrency = driver.engine.limit
+    concurrency = driver.engine.concurrency_limit
     before = concurrency.max_in_flight
     driver.advance_to(1000.0)
     started = tuple(endpoint(index, started=1000.0) for index in range(10, 14))
@@ -82,7 +82,7 @@
     unresponsive_servers: int, is_stalled: bool
 ) -> None:
     """Recorded incidents ie77502 and ic1606d: one unresponsive server made the whole fleet look full."""
-    late_answers_count = RequestClass(latency_objective=1000.0, deadline=60000.0, late_weight=0.2)
+    late_answers_count = RequestClass(latency_objective=1000.0, deadline=60000.0, late_weight_fraction=0.2)
     driver = make_driver(
         server_count=8, plans=NO_QUOTA, max_attempts=1, request_classes=(late_answers_count,)
     )
@@ -93,4 +93,4 @@
         for sent in driver.in_flight():
             if sent.endpoint_id not in unresponsive:
                 driver.end_attempt(sent, Outcome.OK, 50.0)
-    assert (driver.engine.limit.stalled > 0) == is_stalled
+    assert (driver.engine.concurrency_limit.stalled_attempts > 0) == is_stalled
--- a/tests/policy/test_discovery_backoff.py
+++ b/tests/policy/test_discovery_backoff.py
@@ -16,7 +16,7 @@
     GossipReceived,
 )
 from limiter.policy.context import EngineContext
-from limiter.policy.discovery_backoff import MAX_COPIES, DiscoveryBackoff
+from limiter.policy.discovery_backoff import MAX_REPORT_COPIES, DiscoveryBackoff
 from limiter.policy.server_table import ServerTable
 from tests.support.policy_driver import (
     PolicyDriver,
@@ -80,7 +80,9 @@
 @pytest.fixture
 def polling_driver() -> PolicyDriver:
     """A limiter that polls discovery and gossips, with an up to date list of servers 0 and 1."""
-    return make_driver(server_count=2, may_gossip=True, gossip_intake_per_second=40.0, polls_discovery=True)
+    return make_driver(
+        server_count=2, may_gossip=True, max_received_gossip_per_second=40.0, polls_discovery=True
+    )
 
 
 def test_peer_reports_stop_sends_only_while_the_own_list_is_stale(polling_driver: PolicyDriver) -> None:
@@ -109,7 +111,7 @@
         fleet.broadcasts = 0
         fleet.feed_all(EndpointsChanged((endpoint(removed, EndpointState.DRAINING),), False))
         fleet.run_until(fleet.now + 600.0)
-        assert MAX_COPIES <= fleet.broadcasts <= most_broadcasts
+        assert MAX_REPORT_COPIES <= fleet.broadcasts <= most_broadcasts
 
 
 def test_messages_have_at_most_their_maximum_length_and_name_every_server_that_fits() -> None:
@@ -117,20 +119,20 @@
     too_long_for_a_message = bytes((255,)) * 255
     listed = [Endpoint(key, EndpointState.READY) for key in (*servers, too_long_for_a_message)]
     sender, receiver = make_backoff(listed), make_backoff()
-    sender.handle_list(EndpointsChanged((), is_full_list=True))
+    sender.handle_endpoint_list(EndpointsChanged((), is_full_list=True))
     received: set[bytes] = set()
-    while (body := sender.encode()) is not None:
+    while (body := sender.encode_next_message()) is not None:
         assert len(body) <= MAX_MESSAGE_BYTES
-        assert receiver.receive(body)
+        assert receiver.handle_gossip_message(body)
         report = decode_report(body)
         assert report is not None
         received |= set(report.endpoint_ids)
-    assert received == set(servers) == set(receiver.peer_reports)
+    assert received == set(servers) == set(receiver.peer_report_counts)
 
 
 @pytest.mark.parametrize("body", [b"", b"\x00", REPORT_PREFIX[:3] + b"\x01\x01"])
 def test_a_message_of_another_kind_is_left_to_others(body: bytes) -> None:
-    assert not make_backoff().receive(body)
+    assert not make_backoff().handle_gossip_message(body)
 
 
 @pytest.mark.parametrize(
@@ -144,8 +146,8 @@
 )
 def test_a_malformed_or_empty_message_names_no_server(body: bytes) -> None:
     receiver = make_backoff()
-    assert receiver.receive(body)
-    assert not receiver.peer_reports
+    assert receiver.handle_gossip_message(body)
+    assert not receiver.peer_report_counts
 
 
 def test_limiters_that_may_not_gossip_poll_within_the_deadline() -> None:
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -100,7 +100,7 @@
     """Later attempts overtook it, so it was lost on its way."""
     traffic.lose_a_response()
     assert traffic.run(100) > 0.05  # for all that the lost one is still in flight
-    assert traffic.driver.engine.limit.stalled >= 1  # and it is no sign of load
+    assert traffic.driver.engine.concurrency_limit.stalled_attempts >= 1  # and it is no sign of load
 
 
 def test_resets_of_stale_connections_do_not_exclude_a_server(traffic: Traffic) -> None:
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -8,7 +8,7 @@
 from limiter.model.settings import QuotaPlan
 from limiter.policy.customer import Customer
 from limiter.policy.engine import PolicyEngine
-from limiter.policy.throttle import EWMA_WEIGHT, MIN_PROBABILITY, TARGET_UTILIZATION
+from limiter.policy.throttle import MIN_ADMISSION_PROBABILITY, TARGET_UTILIZATION, UTILIZATION_EWMA_WEIGHT
 from tests.support.policy_driver import PolicyDriver, make_driver, settings
 from tests.support.policy_scenarios import counter_key_of, sampled_customer
 
@@ -28,7 +28,7 @@
     driver.now += SAMPLE_AFTER_MS
     driver.engine.customers.advance(customer, driver.now)
     driver.record_remote_usage(customer, 8.0)  # 20 units a second of a quota of 10
-    utilization = EWMA_WEIGHT * 2.0
+    utilization = UTILIZATION_EWMA_WEIGHT * 2.0
     assert customer.usage.utilization == pytest.approx(utilization)
     assert customer.usage.probability == pytest.approx(TARGET_UTILIZATION / utilization)
     before = customer.usage.probability
@@ -40,7 +40,7 @@
     """Many samples above and below the quota move it no further than to its bounds."""
     for _ in range(20):
         record_sample(driver, customer, remote_units=100.0)
-    assert customer.usage.probability == MIN_PROBABILITY
+    assert customer.usage.probability == MIN_ADMISSION_PROBABILITY
     for _ in range(200):
         record_sample(driver, customer, remote_units=0.0)
     assert customer.usage.probability == 1.0
@@ -61,7 +61,7 @@
     driver: PolicyDriver, customer: Customer
 ) -> None:
     """The probability decides on requests beyond the bucket only."""
-    customer.usage.adopt_probability(MIN_PROBABILITY)
+    customer.usage.set_probability(MIN_ADMISSION_PROBABILITY)
     driver.request(2)
     assert driver.sent[2]
 
@@ -72,7 +72,7 @@
     """The others' units count against the quota like the limiter's own."""
     driver.now += 500.0
     driver.record_remote_usage(customer, 40.0)
-    customer.usage.adopt_probability(MIN_PROBABILITY)
+    customer.usage.set_probability(MIN_ADMISSION_PROBABILITY)
     driver.request(3)
     assert driver.answered.get(3) == "RejectRequest"
 
@@ -88,7 +88,7 @@
         driver.complete_in_flight()
     assert not driver.counter_calls
     driver.advance_to(driver.now + 1200.0)
-    assert [call.amount for call in driver.counter_calls] == [10.0]
+    assert [call.units_to_add for call in driver.counter_calls] == [10.0]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.REJECTED, Outcome.CONNECT_FAILED])
@@ -129,14 +129,14 @@
 ) -> None:
     """Its time-out does not tell whether the counter added them; the next total does."""
     engine = driver.engine
-    sampler = engine.sampler
+    sampler = engine.usage_sampler
     first_call_at = driver.now + 500.0
     second_call_at = driver.now + 1000.0
-    customer.report.replace(5.0)
-    sampler.call(first_call_at, customer)
+    customer.report.set_unreported(5.0)
+    sampler.call_counter(first_call_at, customer)
     engine.handle(first_call_at, CounterReply(counter_key_of(customer), Outcome.TIMEOUT, 0.0, 50.0))
     customer.report.delay_next_call(until=0.0)
-    sampler.call(second_call_at, customer)
+    sampler.call_counter(second_call_at, customer)
     total = customer.report.total + (5.0 if was_added else 0.0)
     engine.handle(second_call_at, CounterReply(counter_key_of(customer), Outcome.OK, total, 2.0))
     assert customer.report.unreported_units == still_unreported
@@ -147,14 +147,14 @@
 ) -> None:
     """It was restarted, and the units before are not free again."""
     customer.report.record_total(driver.now, 500.0)
-    customer.report.replace(2.0)
+    customer.report.set_unreported(2.0)
     tokens_before = customer.usage.tokens
     driver.now += 500.0
-    driver.engine.sampler.call(driver.now, customer)
+    driver.engine.usage_sampler.call_counter(driver.now, customer)
     driver.engine.handle(driver.now, CounterReply(counter_key_of(customer), Outcome.OK, 2.0, 2.0))
     assert customer.report.total == 2.0
     assert customer.usage.tokens <= tokens_before + 5.0  # the bucket is not filled anew
-    assert customer.report.failed_calls == 0
+    assert customer.report.consecutive_failed_calls == 0
 
 
 def test_a_reply_for_an_unknown_counter_key_changes_nothing(driver: PolicyDriver, customer: Customer) -> None:
@@ -178,7 +178,7 @@
 
 def test_billed_units_replace_the_estimate() -> None:
     """Five units more than the one unit that was estimated."""
-    driver = make_driver(post_paid=True)
+    driver = make_driver(is_post_paid=True)
     customer = sampled_customer(driver)
     driver.request(2)
     [sent] = driver.in_flight()
@@ -208,8 +208,8 @@
         driver.answer_all_calls(Outcome.OK, 1.0)
     customers = driver.engine.customers.table
     assert list(customers.records) == [1000]
-    assert driver.engine.sampler.calls_in_flight == 0
-    assert not driver.engine.attempts.requests
+    assert driver.engine.usage_sampler.calls_in_flight == 0
+    assert not driver.engine.attempt_dispatcher.open_requests
 
 
 @pytest.mark.parametrize(("name", "value"), [("slow_start_capacity", 0.0), ("limiter_index", 3)])
--- a/tests/policy/test_server_selection.py
+++ b/tests/policy/test_server_selection.py
@@ -80,12 +80,12 @@
 def record_latency(driver: PolicyDriver, index: int, latency: float) -> None:
     """Let an attempt at server `index` succeed now, after this time."""
     success = AttemptEnded(0, 0, endpoint_id(index), Outcome.OK, latency, request_finished=True)
-    driver.engine.outliers.record_outcome(driver.now, driver.server(index).health, success)
+    driver.engine.outlier_detector.record_outcome(driver.now, driver.server(index).health, success)
 
 
 def test_an_old_latency_weighs_less_in_the_cost(two_servers: PolicyDriver) -> None:
     """The server may have recovered since."""
-    cost = two_servers.engine.selector.cost
+    cost = two_servers.engine.server_selector.estimate_cost
     record_latency(two_servers, 1, 100.0)
     record_latency(two_servers, 0, 5000.0)
     server = two_servers.server(0)
@@ -96,7 +96,7 @@
     two_servers: PolicyDriver,
 ) -> None:
     """An unresponsive server is known before its attempts time out."""
-    cost = two_servers.engine.selector.cost
+    cost = two_servers.engine.server_selector.estimate_cost
     record_latency(two_servers, 1, 100.0)
     server = two_servers.server(0)
     server.start_attempt(1, 0, now=0.0)
@@ -110,7 +110,7 @@
 def test_a_restarted_server_starts_without_a_record(two_servers: PolicyDriver) -> None:
     """Its failures were those of the process before."""
     failure = AttemptEnded(0, 0, endpoint_id(0), Outcome.ERROR, 1.0, request_finished=True)
-    two_servers.engine.outliers.record_outcome(two_servers.now, two_servers.server(0).health, failure)
+    two_servers.engine.outlier_detector.record_outcome(two_servers.now, two_servers.server(0).health, failure)
     assert two_servers.server(0).health.failure_rate > 0.0
     two_servers.feed(EndpointsChanged((endpoint(0, started=5.0),), is_full_list=False))
     assert two_servers.server(0).health.failure_rate == 0.0
@@ -120,12 +120,12 @@
     """The choice costs the same in a fleet of any size."""
     driver = make_driver(server_count=200, plans=NO_QUOTA)
     compared = []
-    cost = driver.engine.selector.cost
+    cost = driver.engine.server_selector.estimate_cost
 
     def recording_cost(now: float, server: Server) -> float:
         compared.append(server.endpoint.id)
         return cost(now, server)
 
-    monkeypatch.setattr(driver.engine.selector, "cost", recording_cost)
+    monkeypatch.setattr(driver.engine.server_selector, "estimate_cost", recording_cost)
     driver.request(1)
     assert 0 < len(compared) <= MAX_CANDIDATES
--- a/tests/policy/test_usage_gossip.py
+++ b/tests/policy/test_usage_gossip.py
@@ -9,8 +9,8 @@
 from limiter.model.events import GossipReceived, Outcome
 from limiter.model.settings import QuotaPlan, Settings
 from limiter.policy.context import EngineContext
-from limiter.policy.gossiped_usage import FORGET_AFTER_MS
-from limiter.policy.usage_gossip import INTAKE_SHARE, MAX_INTERVALS_WITHOUT_MESSAGE, UsageGossip
+from limiter.policy.gossiped_usage import CUSTOMER_IDLE_TIMEOUT_MS
+from limiter.policy.usage_gossip import MAX_INTAKE_FRACTION, MAX_INTERVALS_WITHOUT_MESSAGE, UsageGossip
 from tests.support.policy_driver import PolicyDriver, make_driver, settings
 
 RATE_PLAN, CONCURRENCY_PLAN = 0, 1  # indexes into PLANS
@@ -24,7 +24,7 @@
 def gossip_settings(limiters: int = LIMITERS, **changes: object) -> Settings:
     """Settings of a limiter that may gossip, with the default plans unless `changes` has others."""
     return settings(
-        limiter_count=limiters, may_gossip=True, gossip_intake_per_second=INTAKE_PER_SECOND, **changes
+        limiter_count=limiters, may_gossip=True, max_received_gossip_per_second=INTAKE_PER_SECOND, **changes
     )
 
 
@@ -41,7 +41,7 @@
         limiter_count=limiters,
         plans=PLANS,
         may_gossip=True,
-        gossip_intake_per_second=INTAKE_PER_SECOND,
+        max_received_gossip_per_second=INTAKE_PER_SECOND,
     )
 
 
@@ -51,8 +51,8 @@
     """A message of a peer that forwarded `units` of CUSTOMER and has attempts in flight, of `latency` ms."""
     gossip = make_gossip(plans=PLANS)
     if units:
-        gossip.record_forwarded(0.0, CUSTOMER, plan_index, units)
-    return gossip.encode(in_flight, latency)
+        gossip.record_forwarded_units(0.0, CUSTOMER, plan_index, units)
+    return gossip.encode_message(in_flight, latency)
 
 
 def receive(driver: PolicyDriver, body: bytes, sender: int = 5) -> None:
@@ -73,30 +73,30 @@
 @pytest.mark.parametrize("limiters", [2, 3, 40, 400])
 def test_a_receiver_gets_no_more_messages_than_its_intake_in_a_fleet_of_any_size(limiters: int) -> None:
     messages_per_second = (limiters - 1) * 1000 / make_gossip(limiters).interval
-    assert messages_per_second <= INTAKE_SHARE * INTAKE_PER_SECOND + 1e-9
+    assert messages_per_second <= MAX_INTAKE_FRACTION * INTAKE_PER_SECOND + 1e-9
 
 
 def test_a_message_has_at_most_its_maximum_length_and_the_rest_waits_for_the_next() -> None:
     sender, receiver = make_gossip(), make_gossip()
     for customer in range(2**33 - 120, 2**33):
-        sender.record_forwarded(0.0, customer, customer % 2, 1.0)
+        sender.record_forwarded_units(0.0, customer, customer % 2, 1.0)
     messages = 0
     while sender.has_unsent_units:
-        body = sender.encode(1, 10.0)
+        body = sender.encode_message(1, 10.0)
         assert len(body) <= MAX_MESSAGE_BYTES
         receiver.receive(0.0, body)
         messages += 1
     assert messages == 3
-    assert all(usage.tokens == usage.plan.burst - 1.0 for usage in receiver.usage.records.values())
-    assert len(receiver.usage.records) == 120
+    assert all(usage.tokens == usage.plan.burst - 1.0 for usage in receiver.usage_table.records.values())
+    assert len(receiver.usage_table.records) == 120
 
 
 def test_fractions_of_units_are_sent_once_they_sum_up_to_a_unit() -> None:
     gossip = make_gossip()
-    gossip.record_forwarded(0.0, 1, 0, 0.75)
-    assert len(gossip.encode(0, 0.0)) == HEADER.size
-    gossip.record_forwarded(0.0, 1, 0, 0.75)
-    assert len(gossip.encode(0, 0.0)) == HEADER.size + GROUP_HEADER.size + ENTRY_BYTES
+    gossip.record_forwarded_units(0.0, 1, 0, 0.75)
+    assert len(gossip.encode_message(0, 0.0)) == HEADER.size
+    gossip.record_forwarded_units(0.0, 1, 0, 0.75)
+    assert len(gossip.encode_message(0, 0.0)) == HEADER.size + GROUP_HEADER.size + ENTRY_BYTES
     assert gossip.unsent_units(customer=1, plan_index=0) == 0.5
 
 
@@ -113,8 +113,8 @@
 def test_a_malformed_message_changes_nothing(body: bytes) -> None:
     driver = make_limiter()
     receive(driver, body)
-    assert not driver.engine.gossip.usage.records
-    assert not driver.engine.gossip.peer_load.weight
+    assert not driver.engine.usage_gossip.usage_table.records
+    assert not driver.engine.usage_gossip.peer_load.message_weight
 
 
 def test_with_a_well_filled_bucket_a_request_is_forwarded_without_a_counter_call() -> None:
@@ -142,7 +142,7 @@
     driver = make_limiter()
     receive(driver, peer_message(units=4))
     request(driver)
-    assert driver.counter_calls[0].amount == 1.0
+    assert driver.counter_calls[0].units_to_add == 1.0
     driver.answer_counter(Outcome.OK, slot_total)
     assert bool(driver.sent.get(1)) == is_forwarded  # half of the burst passes in a slot
 
@@ -160,15 +160,15 @@
 
 def test_the_probability_falls_with_the_reported_use_and_recovers() -> None:
     gossip = make_gossip(plans=PLANS)
-    units_over_quota = round(4 * PLANS[RATE_PLAN].rate * gossip.usage.sample_interval / 1000)
+    units_over_quota = round(4 * PLANS[RATE_PLAN].rate * gossip.usage_table.sample_interval / 1000)
     now = 0.0
     for _ in range(6):
-        now += gossip.usage.sample_interval
+        now += gossip.usage_table.sample_interval
         gossip.receive(now - 1.0, peer_message(units=units_over_quota))
-        during_flood = gossip.usage_of(now, CUSTOMER, RATE_PLAN).probability
+        during_flood = gossip.get_usage(now, CUSTOMER, RATE_PLAN).probability
     for _ in range(12):
-        now += gossip.usage.sample_interval
-        after_flood = gossip.usage_of(now, CUSTOMER, RATE_PLAN).probability
+        now += gossip.usage_table.sample_interval
+        after_flood = gossip.get_usage(now, CUSTOMER, RATE_PLAN).probability
     assert during_flood < 0.1
     assert after_flood == 1.0
 
@@ -176,11 +176,13 @@
 def test_peers_that_fell_silent_are_not_relied_on() -> None:
     driver = make_limiter()
     receive(driver, peer_message(in_flight=9, latency=100.0))
-    driver.advance_to(driver.now + (MAX_INTERVALS_WITHOUT_MESSAGE + 0.1) * driver.engine.gossip.interval)
+    driver.advance_to(
+        driver.now + (MAX_INTERVALS_WITHOUT_MESSAGE + 0.1) * driver.engine.usage_gossip.interval
+    )
     request(driver)
     assert 1 not in driver.sent  # held for the counter, as where limiters may not gossip
     assert len(driver.counter_calls) == 1
-    assert driver.engine.gossip.peer_load.weight < 0.05  # of one limiter, this one
+    assert driver.engine.usage_gossip.peer_load.message_weight < 0.05  # of one limiter, this one
 
 
 def rejections_under_concurrency_cap(peer_units: int) -> int:
@@ -188,10 +190,10 @@
     rejections = 0
     for seed in range(40):
         driver = make_limiter(seed)
-        gossip = driver.engine.gossip
+        gossip = driver.engine.usage_gossip
         gossip.set_mean_latency(500.0)
         receive(driver, peer_message(peer_units, CONCURRENCY_PLAN))
-        driver.advance_to(driver.now + gossip.usage.sample_interval)
+        driver.advance_to(driver.now + gossip.usage_table.sample_interval)
         receive(driver, peer_message())
         gossip.set_mean_latency(500.0)
         request(driver, plan_index=CONCURRENCY_PLAN)
@@ -261,8 +263,8 @@
     # Found by reading: the record that was just put back was forgotten as idle; alone, it ended the event.
     gossip = make_gossip(plans=PLANS)
     for customer in range(customers):
-        gossip.record_forwarded(0.0, customer, RATE_PLAN, 1.0)
-    now = 2 * FORGET_AFTER_MS
-    gossip.record_forwarded(now, 0, RATE_PLAN, 3.0)
-    assert list(gossip.usage.records) == [0]
-    assert gossip.usage_of(now, 0, RATE_PLAN).tokens == PLANS[RATE_PLAN].burst - 3.0
+        gossip.record_forwarded_units(0.0, customer, RATE_PLAN, 1.0)
+    now = 2 * CUSTOMER_IDLE_TIMEOUT_MS
+    gossip.record_forwarded_units(now, 0, RATE_PLAN, 3.0)
+    assert list(gossip.usage_table.records) == [0]
+    assert gossip.get_usage(now, 0, RATE_PLAN).tokens == PLANS[RATE_PLAN].burst - 3.0
--- a/tests/policy/test_usage_sampling.py
+++ b/tests/policy/test_usage_sampling.py
@@ -15,13 +15,13 @@
     driver: PolicyDriver, customer: Customer
 ) -> None:
     """Usage during the gap is not forgiven."""
-    sampler = driver.engine.sampler
+    sampler = driver.engine.usage_sampler
     for _ in range(2):
         driver.now += 250.0
-        assert sampler.call(driver.now, customer)
+        assert sampler.call_counter(driver.now, customer)
         driver.feed(CounterReply(counter_key_of(customer), Outcome.REJECTED, 0.0, 2.0))
-    customer.usage.adopt_tokens(20.0)
-    assert sampler.call(driver.now + 250.0, customer)
+    customer.usage.set_tokens(20.0)
+    assert sampler.call_counter(driver.now + 250.0, customer)
     driver.now += 1250.0
     used_by_others = customer.report.total + 40.0  # the split would stand for 7
     driver.feed(CounterReply(counter_key_of(customer), Outcome.OK, used_by_others, 2.0))
@@ -34,11 +34,11 @@
     """A total below the known one is a lost count."""
     driver.now += 500.0
     driver.engine.customers.advance(customer, driver.now)
-    customer.usage.adopt_tokens(5.0)
+    customer.usage.set_tokens(5.0)
     customer.usage.expected_remote_units = 4.0
     customer.report.record_total(driver.now, 500.0)
-    customer.report.replace(2.0)
-    assert driver.engine.sampler.call(driver.now, customer)
+    customer.report.set_unreported(2.0)
+    assert driver.engine.usage_sampler.call_counter(driver.now, customer)
     driver.feed(CounterReply(counter_key_of(customer), Outcome.OK, 2.0, 2.0))
     assert customer.usage.tokens == pytest.approx(5.0)  # the expected remote usage stays used
 
@@ -87,11 +87,11 @@
 
 def test_a_counter_call_stands_for_those_left_out_by_chance(wide_driver: PolicyDriver) -> None:
     """With half of the calls made, each reports twice the units."""
-    wide_driver.engine.sampler.call_probability = 0.5
+    wide_driver.engine.usage_sampler.call_probability = 0.5
     for request_id in range(20):
         request_wide(wide_driver, request_id, customer=request_id)
     assert wide_driver.counter_calls
-    assert {call.amount for call in wide_driver.counter_calls} == {2.0}
+    assert {call.units_to_add for call in wide_driver.counter_calls} == {2.0}
 
 
 def test_a_reply_decides_all_requests_held_for_it(wide_driver: PolicyDriver) -> None:
@@ -109,8 +109,8 @@
     for request_id in range(40):
         request_wide(wide_driver, request_id, customer=request_id)
         wide_driver.answer_counter(Outcome.OK, 60.0)
-    assert wide_driver.customer_record(0).admit_share <= 1.0 - DECISION_WEIGHT + 1e-9
+    assert wide_driver.customer_record(0).admitted_fraction <= 1.0 - DECISION_WEIGHT + 1e-9
     request_wide(wide_driver, 100, customer=100)
     new_customer = wide_driver.customer_record(100)
-    assert new_customer.admit_share < 0.7
+    assert new_customer.admitted_fraction < 0.7
     assert new_customer.usage.probability < 0.2
--- a/tests/policy/test_wide_customers.py
+++ b/tests/policy/test_wide_customers.py
@@ -54,7 +54,7 @@
     assert driver.customer_record().report.unreported_units == -1.0
     driver.advance_to(driver.now + 1000.0)
     request_wide(driver, 2)
-    assert driver.counter_calls[0].amount == 0.0
+    assert driver.counter_calls[0].units_to_add == 0.0
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.REJECTED, Outcome.CONNECT_FAILED])
@@ -92,7 +92,7 @@
 
 def test_the_call_probability_falls_while_calls_time_out_and_recovers(wide_driver: PolicyDriver) -> None:
     """The counter's load is controlled like a customer's."""
-    sampler = wide_driver.engine.sampler
+    sampler = wide_driver.engine.usage_sampler
     for request_id in range(40):
         wide_driver.advance_to(wide_driver.now + 200.0)
         request_wide(wide_driver, request_id, customer=request_id)
--- a/tests/scale/test_process_emulated_peers.py
+++ b/tests/scale/test_process_emulated_peers.py
@@ -116,9 +116,11 @@
     gossip = UsageGossip(EngineContext(settings, seed=1))
     customers = [3, 4, 5, 2**33 - 1]
     gossip.receive(0.0, gossip_message(Random(1), customers))
-    assert set(gossip.usage.records) == set(customers)
-    assert gossip.peer_load.weight == 1
-    assert all(usage.plan is settings.plans[plan_of(key)] for key, usage in gossip.usage.records.items())
+    assert set(gossip.usage_table.records) == set(customers)
+    assert gossip.peer_load.message_weight == 1
+    assert all(
+        usage.plan is settings.plans[plan_of(key)] for key, usage in gossip.usage_table.records.items()
+    )
 
 
 def test_the_longest_gossip_message_fits_into_a_datagram() -> None:
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -69,7 +69,7 @@
             ),
         ),
         (TIMER_FIRED_FRAME, TimerFired(0x4D)),
-        (COUNTER_REPLY_FRAME, CounterReply(0x89F690, Outcome.OK, total=38.0, latency=2.15)),
+        (COUNTER_REPLY_FRAME, CounterReply(0x89F690, Outcome.OK, total_units=38.0, latency=2.15)),
         (
             ATTEMPT_ENDED_FRAME,
             AttemptEnded(
@@ -135,7 +135,7 @@
         (5, LogMessage("two servers known"), "590005001174776f2073657276657273206b6e6f776e"),
         (
             3,
-            IncrementCounter(0x89F690, amount=4.0, time_to_live=3000.0),
+            IncrementCounter(0x89F690, units_to_add=4.0, time_to_live=3000.0),
             "58000340a7700000000000000000000089f69040800000",
         ),
         (3, CancelAttempt(0x5D3A91C4, attempt=0), "5000035d3a91c400"),
@@ -170,7 +170,7 @@
         RejectRequest(1),
         FailRequest(1),
         CancelAttempt(1, attempt=0),
-        IncrementCounter(1, amount=0.0, time_to_live=0.0),
+        IncrementCounter(1, units_to_add=0.0, time_to_live=0.0),
         SetTimer(delay=0.0, token=0),
         SendHealthCheck(SERVER),
         PollDiscovery(),
--- a/tests/support/in_process_limiter.py
+++ b/tests/support/in_process_limiter.py
@@ -33,7 +33,7 @@
     clock = Clock()
     config = parse(configuration(seed="1"))
     proxy = Proxy(config, clock)
-    proxy.servers_changed(endpoints, True)
+    proxy.apply_endpoint_list(endpoints, True)
     listener = Listener(config, proxy, clock)
     yield proxy, listener
     if listener.socket.fileno() >= 0:
--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -38,7 +38,7 @@
 from limiter.policy.server_table import Server
 
 # The driver's own list, so that a change of the model's list does not change the check.
-NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.REQUEST_OVER}
+NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.REQUEST_ENDED}
 TIME_TOLERANCE_MS = 1e-6
 
 
@@ -297,7 +297,7 @@
     @property
     def servers(self) -> dict[bytes, Server]:
         """What the engine holds of each server, by its id."""
-        return self.engine.selector.table.by_id
+        return self.engine.server_selector.table.by_id
 
     def server(self, index: int) -> Server:
         """What the engine holds of server `index`."""
@@ -327,4 +327,4 @@
 
 def ready_endpoints(engine: PolicyEngine) -> set[bytes]:
     """Ids of the servers that the engine may send to."""
-    return {server.endpoint.id for server in engine.selector.table.ready}
+    return {server.endpoint.id for server in engine.server_selector.table.ready}
--- a/tests/support/policy_scenarios.py
+++ b/tests/support/policy_scenarios.py
@@ -33,7 +33,7 @@
     """Answer the counter calls of customer 1 as a counter to which other limiters added `units` for each."""
     while driver.counter_calls:
         call = driver.counter_calls[0]
-        total = driver.customer_record().report.total + call.amount + units
+        total = driver.customer_record().report.total + call.units_to_add + units
         driver.answer_counter(Outcome.OK, total)
 
 
--- a/tests/transport/test_attempt.py
+++ b/tests/transport/test_attempt.py
@@ -18,7 +18,7 @@
     """
 
     def __init__(self) -> None:
-        """Make an attempt that this object carries from `write_begun` on."""
+        """Make an attempt that this object carries from `record_write_start` on."""
         self.outcomes: list[Outcome] = []
         self.abandoned = 0
         self.attempt = Attempt(0, b"s-0", b"GET / HTTP/1.1\r\n\r\n", self._on_ended)
@@ -36,9 +36,9 @@
     recorded.attempt.end(Outcome.OK)
     recorded.attempt.end(Outcome.RESET)
     recorded.attempt.abandon()
-    recorded.attempt.connection_failed(is_stale=True)
+    recorded.attempt.end_on_connection_failure(is_stale=True)
     assert recorded.outcomes == [Outcome.OK]
-    assert recorded.attempt.is_over
+    assert recorded.attempt.has_ended
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.CANCELLED])
@@ -47,9 +47,9 @@
     outcome: Outcome, is_written: bool
 ) -> None:
     recorded = RecordedAttempt()
-    recorded.attempt.write_begun(recorded)
+    recorded.attempt.record_write_start(recorded)
     if is_written:
-        recorded.attempt.write_finished()
+        recorded.attempt.record_write_end()
     recorded.attempt.abandon(outcome)
     assert recorded.outcomes == [outcome if is_written else Outcome.CONNECT_FAILED]
     assert recorded.abandoned == 1
@@ -58,20 +58,20 @@
 @pytest.mark.parametrize(("is_written", "outcome"), [(True, Outcome.RESET), (False, Outcome.CONNECT_FAILED)])
 def test_a_lost_connection_resets_only_what_was_written(is_written: bool, outcome: Outcome) -> None:
     recorded = RecordedAttempt()
-    recorded.attempt.write_begun(recorded)
+    recorded.attempt.record_write_start(recorded)
     if is_written:
-        recorded.attempt.write_finished()
-    recorded.attempt.connection_failed(is_stale=False)
+        recorded.attempt.record_write_end()
+    recorded.attempt.end_on_connection_failure(is_stale=False)
     assert recorded.outcomes == [outcome]
     assert recorded.abandoned == 0
 
 
 def test_an_attempt_without_a_dial_is_not_cancelled_as_unsent() -> None:
     recorded = RecordedAttempt()
-    recorded.attempt.write_begun(recorded)
+    recorded.attempt.record_write_start(recorded)
     recorded.attempt.cancel_unsent(Outcome.CANCELLED)
     assert recorded.outcomes == []
-    assert not recorded.attempt.is_over
+    assert not recorded.attempt.has_ended
 
 
 def test_only_an_attempt_that_asks_for_it_knows_of_a_disconnected_client() -> None:
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -153,7 +153,7 @@
             ("127.0.0.1", discovery.port),
             NameNumbering([], []),
             250.0,
-            PollPacing.for_fleet(200, is_pushed=False),
+            PollPacing.for_fleet(200, uses_local_agent=False),
         )
         self.watch = DiscoveryWatch(
             options,
@@ -218,7 +218,7 @@
 
 
 def test_calls_to_a_shared_discovery_wait_longer_the_more_limiters_there_are() -> None:
-    pacings = [PollPacing.for_fleet(limiters, is_pushed=False) for limiters in (1, 4, 40, 400)]
+    pacings = [PollPacing.for_fleet(limiters, uses_local_agent=False) for limiters in (1, 4, 40, 400)]
     assert [pacing.long_poll_ms for pacing in pacings] == [4000, 4000, 10000, 20000]
     # A limiter is expected to know a change after 2 s.
     assert {pacing.grace_seconds for pacing in pacings} == {1.5}
@@ -226,7 +226,7 @@
 
 @pytest.mark.parametrize("limiters", [1, 200])
 def test_agent_that_stops_responding_is_noticed_before_requests_have_to_stop(limiters: int) -> None:
-    pacing = PollPacing.for_fleet(limiters, is_pushed=True)
+    pacing = PollPacing.for_fleet(limiters, uses_local_agent=True)
     assert pacing.grace_seconds + 1.2 * pacing.max_backoff_seconds < 0.25
     # This is for an agent that stops to respond during a call.
     assert pacing.long_poll_ms / 1000 + pacing.grace_seconds < 6.0
--- a/tests/transport/test_graceful_shutdown.py
+++ b/tests/transport/test_graceful_shutdown.py
@@ -50,7 +50,7 @@
         listener.start_draining()
         listener.stop_accepting()
         client.send(http_request(request_id="2"))
-        assert listener.close_idle()
+        assert listener.close_idle_connections()
         assert (await client.response()).body == b"from s-0"
 
 
@@ -65,7 +65,7 @@
         [connection] = connections
         connections[connection] -= timeout_seconds + 1.0
         client.send(http_request(request_id="2"))
-        listener.registry.close_expired()
+        listener.registry.close_expired_connections()
         assert (await client.response()).body == b"from s-0"
 
 
@@ -98,8 +98,8 @@
         client = RawClient(listener)
         client.send(http_request())
         await wait_until(lambda: received_by(servers))
-        for request in proxy.requests.unanswered():
-            proxy.forwarder.end(request)
+        for request in proxy.requests.list_unanswered():
+            proxy.forwarder.end_request(request)
         assert (await client.response()).status == 503
         client.send(http_request("order", request_id="2"))
         # A retry of the first request would have been sent before the second one.
--- a/tests/transport/test_lifecycle.py
+++ b/tests/transport/test_lifecycle.py
@@ -112,7 +112,7 @@
     recorder = TimerRecorder(due_ms)
     proxy.engine = recorder  # type: ignore[assignment]
     for token, due in due_ms.items():
-        proxy.fire_timer(due, token)
+        proxy.deliver_timer_when_due(due, token)
     await wait_until(lambda: len(recorder.early_ms) == 5)
     proxy.close()
     assert max(recorder.early_ms) <= 0
--- a/tests/transport/test_paused_process.py
+++ b/tests/transport/test_paused_process.py
@@ -19,8 +19,8 @@
 from limiter.transport.clients.connection_registry import READ_TIMEOUT_SECONDS
 from limiter.transport.driver.proxied_request import ProxiedRequest
 from limiter.transport.servers.server_connection import ServerConnection
-from limiter.transport.servers.server_pool import SETTLE_SECONDS
-from limiter.transport.sockets import has_peer_hung_up
+from limiter.transport.servers.server_pool import MIN_IDLE_BEFORE_REUSE_SECONDS
+from limiter.transport.sockets import has_peer_disconnected
 from tests.support.client import HEALTH_CHECK, Connection, http_request
 from tests.support.fake_server import FakeServer, HeldResponses, request_ids, respond_with
 from tests.support.harness import LimiterHarness, limiter_with, wait_for_list_read
@@ -83,7 +83,7 @@
     held.release()
     for client in clients:
         assert (await client.response()).status == 200
-    reusable_at = time.monotonic() + 2 * SETTLE_SECONDS
+    reusable_at = time.monotonic() + 2 * MIN_IDLE_BEFORE_REUSE_SECONDS
     await wait_until(lambda: time.monotonic() > reusable_at)
     for server in harness.servers:
         server.received.clear()
@@ -168,7 +168,7 @@
 
         monkeypatch.setattr(ServerConnection, "connection_made", disconnect_client)
         leaving.send(http_request("order", request_id="disconnected"))
-        await wait_until(lambda: proxy.pool.connections.open, "the connection is up")
+        await wait_until(lambda: proxy.server_pool.connections.open, "the connection is up")
         staying.send(http_request("order", request_id="mark"))
         assert (await staying.response()).status == 200
         assert request_ids(server.received) == ["mark"]
@@ -202,7 +202,7 @@
         await wait_until(lambda: held.writers)
         [connection] = listener.registry.connections
         connection.pause_writing()  # Its transport calls this if the client reads no responses.
-        [second] = connection.pipelined
+        [second] = connection.pipelined_requests
         assert isinstance(second, ProxiedRequest)
         client.socket.shutdown(socket.SHUT_WR)
         held.release()
@@ -210,7 +210,7 @@
             lambda: not proxy.requests.by_number or len(server.received) > 1,
             "the first request has its response",
         )
-        await wait_until(lambda: not proxy.requests.unanswered() or len(server.received) > 1)
+        await wait_until(lambda: not proxy.requests.list_unanswered() or len(server.received) > 1)
         assert len(server.received) == 1
         # Another request has the same id by now, and then the connection of the second one is closed.
         proxy.requests.client_request_ids.add(second.client_request_id)
@@ -227,12 +227,12 @@
     local, remote = socket.socketpair()
     transport, _ = await asyncio.get_running_loop().connect_accepted_socket(asyncio.Protocol, local)
     transport.pause_reading()
-    assert not has_peer_hung_up(transport)
+    assert not has_peer_disconnected(transport)
     remote.send(b"GET")
-    assert not has_peer_hung_up(transport)
+    assert not has_peer_disconnected(transport)
     assert local.recv(8) == b"GET"
     remote.shutdown(socket.SHUT_WR)
-    assert has_peer_hung_up(transport)
+    assert has_peer_disconnected(transport)
     transport.abort()
     remote.close()
 
--- a/tests/transport/test_requests.py
+++ b/tests/transport/test_requests.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from limiter.transport.servers.server_connection import STALL_SECONDS
-from limiter.transport.servers.server_pool import SETTLE_SECONDS
+from limiter.transport.servers.server_connection import RESPONSE_STALL_TIMEOUT_SECONDS
+from limiter.transport.servers.server_pool import MIN_IDLE_BEFORE_REUSE_SECONDS
 from tests.support.client import HEALTH_CHECK, Response, http_request
 from tests.support.fake_server import (
     FakeServer,
@@ -243,7 +243,7 @@
     rounds_in_time = 0
     while rounds_in_time < 20:
         body = await body_after_twofold_response(harness, twofold)
-        if twofold.delays_seconds[-1] < SETTLE_SECONDS:
+        if twofold.delays_seconds[-1] < MIN_IDLE_BEFORE_REUSE_SECONDS:
             rounds_in_time += 1
             assert body == b"two"
 
@@ -259,10 +259,10 @@
     async def respond_slowly(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 103 Early Hints\r\n\r\n")
         # After an interim response, the server may take its time until the final one.
-        await asyncio.sleep(2 * STALL_SECONDS)
+        await asyncio.sleep(2 * RESPONSE_STALL_TIMEOUT_SECONDS)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n")
         for part in (b"in", b"pa", b"rt"):
-            await asyncio.sleep(STALL_SECONDS / 3)
+            await asyncio.sleep(RESPONSE_STALL_TIMEOUT_SECONDS / 3)
             writer.write(part)
 
     harness.servers[0].responder = respond_slowly
--- a/tests/transport/test_server_connection_races.py
+++ b/tests/transport/test_server_connection_races.py
@@ -61,7 +61,7 @@
     second_response: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What waits in the kernel decides, whether or not the event loop has read it."""
-    monkeypatch.setattr(server_pool, "SETTLE_SECONDS", 0.0)
+    monkeypatch.setattr(server_pool, "MIN_IDLE_BEFORE_REUSE_SECONDS", 0.0)
     server = FakeServer("s-0")
     server.responder = responder = RecordingResponder(respond_with_connection_number)
     async with in_process_limiter(server) as (proxy, listener):
@@ -69,14 +69,14 @@
         client.send(http_request("order", request_id="1"))
         response = await client.response()
         assert (response.status, response.body) == (200, b"1")
-        [connection] = proxy.pool.connections.idle
+        [connection] = proxy.server_pool.connections.idle
         if second_response:
             responder.writers[0].write(second_response)  # It is in the limiter's kernel at once.
         else:
             responder.writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
         assert connection.transport is not None
         assert has_unread_input(connection.transport)
-        result = await result_of_attempt(proxy.pool, http_request("order", request_id="2"))
+        result = await result_of_attempt(proxy.server_pool, http_request("order", request_id="2"))
         assert result == (Outcome.OK, b"2")
 
 
@@ -88,9 +88,9 @@
         client = RawClient(listener)
         client.send(http_request())
         await wait_until(lambda: responder.writers)
-        [request] = proxy.requests.unanswered()
+        [request] = proxy.requests.list_unanswered()
         assert not has_unread_input(responder.writers[0].transport)
-        request.in_flight[0].abandon()
+        request.attempts_in_flight[0].abandon()
         assert has_unread_input(
             responder.writers[0].transport
         )  # The end of the connection has arrived already.
--- a/tests/transport/test_server_pool.py
+++ b/tests/transport/test_server_pool.py
@@ -12,7 +12,7 @@
 from limiter.transport.servers import server_pool as server_pool_module
 from limiter.transport.servers.attempt import Attempt
 from limiter.transport.servers.reuse_history import ReuseHistory
-from limiter.transport.servers.server_pool import SETTLE_SECONDS, ServerPool
+from limiter.transport.servers.server_pool import MIN_IDLE_BEFORE_REUSE_SECONDS, ServerPool
 from tests.support.client import http_request
 from tests.support.fake_server import FakeServer, reset_connection, respond_with
 from tests.support.waiting import wait_until
@@ -56,7 +56,7 @@
     server = FakeServer("s")
     await server.listen()
     pool = ServerPool(dial_timeout_ms=250.0, keepalive_ms=30_000.0, max_connections=8)
-    pool.update(b"s", ("127.0.0.1", server.port), 0.0)
+    pool.add_or_replace(b"s", ("127.0.0.1", server.port), 0.0)
     try:
         yield PoolDriver(pool, server)
     finally:
@@ -80,7 +80,7 @@
     driver.send()
     await wait_until(lambda: driver.pool.connections.idle)
     # With this the idle connection is not reused, so that another one must be opened.
-    monkeypatch.setattr(server_pool_module, "SETTLE_SECONDS", 1000.0)
+    monkeypatch.setattr(server_pool_module, "MIN_IDLE_BEFORE_REUSE_SECONDS", 1000.0)
     monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", fail_to_connect)
     driver.send()
     await driver.wait_for_end()
@@ -94,7 +94,7 @@
         driver.server.responder = responder
         driver.send()
         await driver.wait_for_end()
-        await asyncio.sleep(2 * SETTLE_SECONDS)
+        await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE_SECONDS)
     assert driver.ended == [(Outcome.OK, False), (Outcome.RESET, True), (Outcome.RESET, False)]
 
 
