--- a/limiter/transport/servers/__init__.py
+++ b/limiter/transport/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to servers: the pool, dials, and the attempts written on them."""
+"""Connections to servers: the connection pool, connection setup, and the attempts sent on them."""
--- a/limiter/transport/servers/attempt.py
+++ b/limiter/transport/servers/attempt.py
@@ -1,4 +1,4 @@
-"""One send of a client's request to one server."""
+"""A single attempt to send a client's request to a server."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 from limiter.model.events import Outcome
 
-# Called once with the attempt, its outcome, and the response's body and content type.
-EndedCallback = Callable[["Attempt", Outcome, bytes, bytes], None]
+# Called once, with the attempt, its outcome, and the body and content type of the response.
+AttemptEndedCallback = Callable[["Attempt", Outcome, bytes, bytes], None]
 
 
-class AttemptCarrier(Protocol):
-    """A connection, as known to the attempt that it carries."""
+class AttemptConnection(Protocol):
+    """The part of a connection's interface that the attempt in flight on it uses."""
 
     def abandon_attempt(self) -> None:
         """Close the connection without ending the attempt."""
 
 
 class Attempt:
-    """One send of a request to a server, which is written at most once and ended exactly once.
+    """A request sent to one server. It is written at most once and ended exactly once.
 
-    An attempt waits until it has a connection, in the meantime one may be dialled for it. From `write_begun`
-    on it is carried by that connection. It is over with the first call of `end`, whoever makes it.
+    An attempt first waits for a connection, which may have to be dialed. From `record_write_start` on it is
+    in flight on that connection. The first call of `end` ends it, whichever component makes that call.
     """
 
     __slots__ = (
-        "_carrier",
+        "_connection",
         "_dial_task",
         "_is_client_disconnected",
         "_on_ended",
@@ -46,105 +46,113 @@
         number: int,
         server_id: bytes,
         request_bytes: bytes,
-        on_ended: EndedCallback,
+        on_ended: AttemptEndedCallback,
         is_client_disconnected: Callable[[], bool] | None = None,
     ) -> None:
-        """Describe a send that has not begun.
+        """Create an attempt that has not been sent yet.
 
         Args:
-            number: index of the attempt among those of its request.
-            server_id: id of the server.
+            number: index of the attempt among all attempts of its request.
+            server_id: ID of the server.
             request_bytes: the complete HTTP request.
-            on_ended: called once with the attempt, its outcome, and the response's body and content type.
-            is_client_disconnected: asked after a dial; if so, nothing is written.
+            on_ended: called once, with the attempt, its outcome, and the body and content type of the
+                response.
+            is_client_disconnected: called after a dial; if it returns True, the request is not written.
         """
         self.number = number
         self.server_id = server_id
         self.request_bytes = request_bytes
         self.started_at_seconds = time.monotonic()
-        # The last byte of the request is with the kernel. From then on the server may have run it.
+        # Whether the kernel has accepted the last byte of the request. From then on the server may have
+        # executed the request.
         self.is_written = False
-        # The connection was reused, and was reset before any byte of a response.
+        # Whether the connection was a reused one that ended before any byte of a response arrived.
         self.is_connection_stale = False
-        self._on_ended: EndedCallback | None = on_ended
+        self._on_ended: AttemptEndedCallback | None = on_ended
         self._is_client_disconnected = is_client_disconnected
-        self._carrier: AttemptCarrier | None = None
+        self._connection: AttemptConnection | None = None
         self._dial_task: asyncio.Task[None] | None = None
         self._timeout_timer: asyncio.TimerHandle | None = None
 
     @property
     def has_ended(self) -> bool:
-        """Whether it has ended."""
+        """Whether the outcome has been reported."""
         return self._on_ended is None
 
     def elapsed_ms(self) -> float:
-        """Return the time since the attempt began."""
+        """Return the time since the attempt was created, in milliseconds."""
         return (time.monotonic() - self.started_at_seconds) * 1000
 
     def is_client_disconnected(self) -> bool:
-        """Return whether the client no longer waits, so that nothing more should be written."""
+        """Return whether the client has disconnected, in which case the request should not be written."""
         return self._is_client_disconnected is not None and self._is_client_disconnected()
 
-    # What happens to the attempt, in the order of its life
+    # Lifecycle events, in the order in which they occur
 
     def start_timeout(self, timeout_seconds: float) -> None:
-        """Abandon the attempt once its time is up."""
+        """Abandon the attempt if it has not ended after `timeout_seconds`."""
         self._timeout_timer = asyncio.get_running_loop().call_later(timeout_seconds, self.abandon)
 
-    def dial_begun(self, dial_task: asyncio.Task[None]) -> None:
-        """Note that a connection is being opened for it."""
+    def record_dial_start(self, dial_task: asyncio.Task[None]) -> None:
+        """Record that a connection is being opened for this attempt."""
         self._dial_task = dial_task
 
-    def dial_finished(self) -> None:
-        """Note that the dial can no longer be cancelled: it has ended, or its connection is used now."""
+    def record_dial_end(self) -> None:
+        """Record that the dial must not be cancelled any more: it has ended, or its connection is in use."""
         self._dial_task = None
 
-    def record_write_start(self, carrier: AttemptCarrier) -> None:
-        """Note that a connection carries it from now on."""
-        self._carrier = carrier
+    def record_write_start(self, connection: AttemptConnection) -> None:
+        """Record that the request is now being written on `connection`."""
+        self._connection = connection
 
     def record_write_end(self) -> None:
-        """Note that the last byte of its request is with the kernel."""
+        """Record that the kernel has accepted the last byte of the request."""
         self.is_written = True
 
     def end_on_connection_failure(self, *, is_stale: bool) -> None:
-        """End it, since its connection has ended before the response.
+        """End the attempt because its connection ended before the response was complete.
 
         Args:
-            is_stale: whether the connection was reused, and was reset before any byte of a response.
+            is_stale: whether the connection was a reused one that ended before any byte of a response
+                arrived.
         """
         self.is_connection_stale = is_stale
-        # Before the last byte was written the server cannot have begun to run it; after that it may have.
+        # A server cannot execute a request before its last byte was written. After that, it may have.
         self.end(Outcome.RESET if self.is_written else Outcome.CONNECT_FAILED)
 
-    # Ends
+    # Ending the attempt
 
     def cancel_unsent(self, outcome: Outcome) -> None:
-        """End it if it waits for a dial; once its write has begun it may run, and goes on."""
+        """End the attempt if it still waits for a dial.
+
+        An attempt whose write has started continues, because the server may execute it.
+        """
         if self._dial_task is not None:
-            self._dial_task.cancel()  # The dial task alone would write it.
-            # In a later turn, since the caller may still be handling the event that led here.
+            self._dial_task.cancel()  # Only the dial task would write the request.
+            # Deferred to a later event loop iteration, because the caller may still be handling the event
+            # that led to this call.
             asyncio.get_running_loop().call_soon(self.end, outcome)
 
     def abandon(self, outcome: Outcome = Outcome.TIMEOUT) -> None:
-        """End it without its response.
+        """End the attempt without waiting for its response.
 
-        Its connection is closed, since a later response on it would belong to no request. Where the request
-        was not written completely it cannot run, and the outcome is CONNECT_FAILED whatever the caller says.
+        The connection is closed, because a response that arrived on it later could not be matched to a
+        request. If the request was not written completely, the server cannot execute it, and the outcome is
+        CONNECT_FAILED instead of `outcome`.
         """
-        if self._carrier is not None:
-            self._carrier.abandon_attempt()
+        if self._connection is not None:
+            self._connection.abandon_attempt()
         elif self._dial_task is not None:
             self._dial_task.cancel()
         self.end(outcome if self.is_written else Outcome.CONNECT_FAILED)
 
     def end(self, outcome: Outcome, body: bytes = b"", content_type: bytes = b"") -> None:
-        """Report the outcome; without effect on an attempt that is over."""
+        """Report the outcome; has no effect on an attempt that has already ended."""
         on_ended = self._on_ended
         if on_ended is None:
             return
         self._on_ended = None
-        self._carrier = None
+        self._connection = None
         if self._timeout_timer is not None:
             self._timeout_timer.cancel()
             self._timeout_timer = None
--- a/limiter/transport/servers/reuse_history.py
+++ b/limiter/transport/servers/reuse_history.py
@@ -1,49 +1,55 @@
-"""How often reused connections are reset, by the time for which they were idle."""
+"""Tracks how often reused connections are reset, by the time for which they were idle."""
 
 from __future__ import annotations
 
 import math
 
-# Idle times are grouped in spans: the first ends at this time, each further one at twice the end of the last.
-FIRST_SPAN_SECONDS = 0.05
-SPAN_COUNT = 16
-# Weight of the newest reuse in the moving average of its span.
-NEWEST_REUSE_WEIGHT = 0.05
-# By how much the reset share of a span may exceed that of the first span. Beyond that it is not reused.
-MAX_EXCESS_RESET_SHARE = 0.15
-# Part of a span's reset share that each refused reuse takes off, so that the span is tried again in the end.
-DECAY_PER_REFUSAL = 0.02
-# Shorter idle times count as this one, which keeps the logarithm finite.
+# Idle times are grouped into buckets. This is the upper bound of the first bucket; the bound of each further
+# bucket is twice that of the previous one.
+FIRST_BUCKET_MAX_IDLE_SECONDS = 0.05
+BUCKET_COUNT = 16
+# Weight of the newest sample in the exponential moving average of its bucket.
+MOVING_AVERAGE_WEIGHT = 0.05
+# A connection is not reused if the reset fraction of its bucket exceeds that of the first bucket by more than
+# this.
+MAX_EXCESS_RESET_FRACTION = 0.15
+# Relative decrease of a bucket's reset fraction on each refused reuse, so that reuse is eventually retried.
+DECAY_FRACTION_PER_REFUSAL = 0.02
+# Shorter idle times are treated as this value, which keeps the logarithm finite.
 MIN_IDLE_SECONDS = 1e-3
 
 
 class ReuseHistory:
-    """Moving average of the share of resets among reuses of idle connections, by idle time.
+    """Moving average of the fraction of reused connections that were reset, by idle time.
 
-    Servers close idle connections after timeouts of their own, well before the keepalive that the settings
-    name. A request written meanwhile is reset: it may have run, and costs its client one of its attempts.
+    Servers close idle connections after their own timeouts, well before the keepalive time in the settings.
+    A request written on such a connection is reset: the server may have executed it, and it uses up one of
+    the request's attempts.
     """
 
-    __slots__ = ("_reset_shares",)
+    __slots__ = ("_reset_fractions",)
 
     def __init__(self) -> None:
-        """Assume no resets until some are recorded."""
-        self._reset_shares = [0.0] * SPAN_COUNT
+        """Create a history without recorded resets, which permits every reuse."""
+        self._reset_fractions = [0.0] * BUCKET_COUNT
 
     def record(self, idle_seconds: float, was_reset: bool) -> None:
-        """Count one reuse of a connection that was idle for so long."""
-        span = _span_of(idle_seconds)
-        self._reset_shares[span] += NEWEST_REUSE_WEIGHT * (was_reset - self._reset_shares[span])
+        """Record whether a connection that was reused after `idle_seconds` was reset."""
+        bucket = _find_bucket(idle_seconds)
+        self._reset_fractions[bucket] += MOVING_AVERAGE_WEIGHT * (was_reset - self._reset_fractions[bucket])
 
     def permits_reuse(self, idle_seconds: float) -> bool:
-        """Whether a connection idle for so long may be reused; each refusal makes the next less likely."""
-        span = _span_of(idle_seconds)
-        if self._reset_shares[span] <= self._reset_shares[0] + MAX_EXCESS_RESET_SHARE:
+        """Return whether a connection may be reused after `idle_seconds`.
+
+        Each refusal lowers the recorded reset fraction, so that reuse is eventually permitted again.
+        """
+        bucket = _find_bucket(idle_seconds)
+        if self._reset_fractions[bucket] <= self._reset_fractions[0] + MAX_EXCESS_RESET_FRACTION:
             return True
-        self._reset_shares[span] *= 1 - DECAY_PER_REFUSAL
+        self._reset_fractions[bucket] *= 1 - DECAY_FRACTION_PER_REFUSAL
         return False
 
 
-def _span_of(idle_seconds: float) -> int:
-    doublings = math.log2(max(idle_seconds, MIN_IDLE_SECONDS) / FIRST_SPAN_SECONDS)
-    return min(SPAN_COUNT - 1, max(0, math.ceil(doublings)))
+def _find_bucket(idle_seconds: float) -> int:
+    doublings = math.log2(max(idle_seconds, MIN_IDLE_SECONDS) / FIRST_BUCKET_MAX_IDLE_SECONDS)
+    return min(BUCKET_COUNT - 1, max(0, math.ceil(doublings)))
