--- a/limiter/transport/counter/counter_client.py
+++ b/limiter/transport/counter/counter_client.py
@@ -1,4 +1,4 @@
-"""Client of the shared counter: it keeps a connection open, and reports the outcome of each call once."""
+"""Client of the shared counter: keeps a connection open and reports the outcome of each call once."""
 
 from __future__ import annotations
 
@@ -14,38 +14,40 @@
 from limiter.model.events import Outcome
 from limiter.transport.backoff import Backoff
 from limiter.transport.counter.counter_connection import (
-    REPLY_OVERDUE_SECONDS,
+    LIVENESS_TIMEOUT_SECONDS,
     CounterConnection,
     PendingCall,
-    add_call,
+    make_add_call,
 )
 
 log = logging.getLogger(__name__)
 
-# Calls whose replies may be owed on a connection. Further ones are rejected here.
+# Limit on the calls without a reply on one connection. Further calls are rejected without being sent.
 MAX_UNANSWERED_CALLS = 512
-# Time in which the counter at the previous address may still reply, after the address has changed.
-ADDRESS_CHANGE_GRACE_SECONDS = 2 * REPLY_OVERDUE_SECONDS
-# Delay before connecting again after a connection that brought no reply. It doubles with each further one.
+# Time after a change of address in which replies from the previous address are still read.
+ADDRESS_CHANGE_GRACE_SECONDS = 2 * LIVENESS_TIMEOUT_SECONDS
+# Delay before connecting again after a connection on which no reply arrived. It doubles with each further
+# such connection.
 FIRST_BACKOFF_SECONDS = 0.05
 MAX_BACKOFF_SECONDS = 1.0
-# A call that has less time left than this counts as timed out, since timers may fire a little early.
+# A call with less remaining time counts as timed out, because timers may fire slightly early.
 TIMER_TOLERANCE_SECONDS = 0.0005
 # Shortest time to live that the counter accepts.
 MIN_TIME_TO_LIVE_MS = 1
 
-# Called with the key, the outcome, the total (0 unless the outcome is OK) and the latency in milliseconds.
+# Called with the key, the outcome, the counter's total in units (0 unless the outcome is OK) and the latency
+# in milliseconds.
 ReplyCallback = Callable[[int, Outcome, float, float], None]
 
 
 @dataclass(frozen=True, slots=True)
 class CounterClientOptions:
-    """Where the counter is, and how long it is waited for.
+    """Address and timeouts of the counter.
 
     Attributes:
         address: address of the counter.
         timeout_ms: time after which a call without a reply is reported as timed out.
-        dial_timeout_ms: longest time in which a connection is opened.
+        dial_timeout_ms: time after which opening a connection fails.
     """
 
     address: Address
@@ -54,58 +56,59 @@
 
 
 class CounterClient:
-    """Adds to counters on a connection that is opened again whenever it ends."""
+    """Adds to counters on a connection, and reconnects whenever that connection ends."""
 
     def __init__(self, options: CounterClientOptions, on_reply: ReplyCallback) -> None:
-        """Begin to connect; the event loop must be running.
+        """Start connecting; the event loop must be running.
 
         Args:
-            options: where the counter is, and how long it is waited for.
-            on_reply: called once for each call of `add`, never from within it.
+            options: address and timeouts of the counter.
+            on_reply: called once for each call of `add`, after `add` has returned.
         """
         self._address = options.address
         self._timeout_seconds = options.timeout_ms / 1000
         self._dial_timeout_seconds = options.dial_timeout_ms / 1000
         self._on_reply = on_reply
-        # Calls that were written, in their order, whose timeouts are still to come.
-        self._unexpired: deque[PendingCall] = deque()
+        # Written calls whose timeouts have not expired yet, oldest first.
+        self._unexpired_calls: deque[PendingCall] = deque()
         self._expiry_timer: asyncio.TimerHandle | None = None
-        # The last connection that was opened at this address; it may be closed already.
+        # The last connection opened to the current address; it may already be closed.
         self.connection: CounterConnection | None = None
         self._loop = asyncio.get_running_loop()
-        self._task = self._loop.create_task(self._run())
+        self._connection_task = self._loop.create_task(self._run())
 
     def change_address(self, address: Address) -> None:
-        """Send new calls to another address; replies that are owed at the old one are still read."""
+        """Send new calls to another address; outstanding replies from the old one are still read."""
         if address == self._address:
             return
         self._address = address
-        previous = self.connection
+        previous_connection = self.connection
         self.connection = None
-        self._task.cancel()
-        self._task = self._loop.create_task(self._run())
-        if previous is not None:
-            # Its calls may have been added, so they are neither repeated nor given up: their totals count.
-            previous.retire()
-            self._loop.call_later(ADDRESS_CHANGE_GRACE_SECONDS, previous.abort)
+        self._connection_task.cancel()
+        self._connection_task = self._loop.create_task(self._run())
+        if previous_connection is not None:
+            # The counter may have applied the outstanding calls. They are therefore not repeated, and their
+            # replies are still awaited, because the totals are needed.
+            previous_connection.retire()
+            self._loop.call_later(ADDRESS_CHANGE_GRACE_SECONDS, previous_connection.abort)
 
     def close(self) -> None:
-        """Close the connection; calls in flight may not be reported any more."""
-        self._task.cancel()
+        """Close the connection; the outcomes of outstanding calls may not be reported."""
+        self._connection_task.cancel()
         if self._expiry_timer is not None:
             self._expiry_timer.cancel()
         if self.connection is not None:
             self.connection.abort()
 
-    def add(self, key: int, amount: float, time_to_live_ms: float) -> None:
+    def add(self, key: int, units_to_add: float, time_to_live_ms: float) -> None:
         """Add to a counter.
 
         Args:
-            key: names the counter.
-            amount: units to add.
-            time_to_live_ms: how long the counter service is asked to keep the counter from now on.
+            key: identifies the counter.
+            units_to_add: units to add to the counter.
+            time_to_live_ms: time after this call for which the service should keep the counter.
         """
-        call = add_call(partial(self._on_reply, key))
+        call = make_add_call(partial(self._on_reply, key))
         connection = self.connection
         if connection is None or not connection.is_open:
             self._loop.call_soon(call.finish, Outcome.CONNECT_FAILED)
@@ -113,26 +116,26 @@
         if connection.unanswered_count >= MAX_UNANSWERED_CALLS:
             self._loop.call_soon(call.finish, Outcome.REJECTED)
             return
-        time_to_live = max(MIN_TIME_TO_LIVE_MS, round(time_to_live_ms))
-        connection.write(call, "CNT.ADD", str(key), f"{amount:.6f}", str(time_to_live))
-        self._unexpired.append(call)
+        clamped_time_to_live_ms = max(MIN_TIME_TO_LIVE_MS, round(time_to_live_ms))
+        connection.write(call, "CNT.ADD", str(key), f"{units_to_add:.6f}", str(clamped_time_to_live_ms))
+        self._unexpired_calls.append(call)
         if self._expiry_timer is None:
             self._expiry_timer = self._loop.call_later(self._timeout_seconds, self._finish_expired_calls)
 
     def _finish_expired_calls(self) -> None:
-        """Finish the calls whose time is up, and set the timer for the next one."""
+        """Finish the calls that have timed out, and schedule the timer for the next one."""
         self._expiry_timer = None
-        while self._unexpired:
-            call = self._unexpired[0]
+        while self._unexpired_calls:
+            call = self._unexpired_calls[0]
             remaining_seconds = call.started_at_seconds + self._timeout_seconds - time.monotonic()
             if not call.is_finished and remaining_seconds > TIMER_TOLERANCE_SECONDS:
                 self._expiry_timer = self._loop.call_later(remaining_seconds, self._finish_expired_calls)
                 return
-            self._unexpired.popleft()
+            self._unexpired_calls.popleft()
             call.finish(Outcome.TIMEOUT)
 
     async def _run(self) -> None:
-        """Connect again whenever the connection ends, with a backoff after one that brought no reply."""
+        """Reconnect whenever the connection ends, with backoff if no reply arrived on it."""
         backoff = Backoff(FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
         is_failure_logged = False
         while True:
@@ -144,9 +147,9 @@
                     is_failure_logged = True
             else:
                 self.connection = connection
-                await connection.keep_alive()
-                # After one invalid reply the next connection is opened at once: totals are not missed for
-                # long.
+                await connection.monitor_until_closed()
+                # A connection that ends after valid replies, for example by one invalid reply, is replaced
+                # without delay, so that totals are missing only briefly.
                 if connection.has_replied:
                     backoff.reset()
                     is_failure_logged = False
--- a/limiter/transport/counter/resp.py
+++ b/limiter/transport/counter/resp.py
@@ -1,4 +1,4 @@
-"""RESP2, the protocol of the shared counter: encodes commands, and reads replies of bounded size."""
+"""RESP2, the protocol of the shared counter: encodes commands and parses replies of limited length."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 from limiter.model.events import Outcome
 
-# Longest reply that is read. A total takes some twenty bytes.
+# Longest reply that is accepted. A total takes about 20 bytes.
 MAX_REPLY_BYTES = 512
-# First byte of an array, set, map, push or attribute. The parser would set memory aside by the length that an
-# aggregate states, so it is refused before the parser sees it.
-AGGREGATE_REPLY = re.compile(rb"(?:^|\n)[*~%>|]")
-# A total as the counter writes it. `float` alone would also take "1_0", "nan" and blanks.
-TOTAL = re.compile(rb"-?\d+(\.\d*)?([eE][-+]?\d+)?")
-# The only error replies which prove that nothing was added.
-NOTHING_ADDED_CODES = ("BUSY", "ERR")
+# Matches the first byte of an array, set, map, push or attribute. The parser would allocate memory for the
+# length that an aggregate declares, so aggregates are rejected before they are parsed.
+AGGREGATE_REPLY_PATTERN = re.compile(rb"(?:^|\n)[*~%>|]")
+# Format of a total. `float` alone would also accept "1_0", "nan" and surrounding whitespace.
+TOTAL_PATTERN = re.compile(rb"-?\d+(\.\d*)?([eE][-+]?\d+)?")
+# The only error codes which guarantee that the counter did not apply the call.
+NOT_APPLIED_ERROR_CODES = ("BUSY", "ERR")
 
 
-# The log of an invalid reply prints these classes by name.
+# The class names of these errors appear in the log.
 
 
 class UnsolicitedReplyError(ValueError):
-    """A reply came while no call was unanswered."""
+    """A reply arrived while no call was outstanding."""
 
     def __init__(self) -> None:
         """Set the message that the log shows."""
-        super().__init__("a reply without a call")
+        super().__init__("received a reply although no call is outstanding")
 
 
 class ReplyTooLongError(ValueError):
@@ -38,72 +38,72 @@
 
     def __init__(self) -> None:
         """Set the message that the log shows."""
-        super().__init__("a reply that is too long, or an aggregate")
+        super().__init__("reply exceeds the maximum length or is an aggregate")
 
 
 class InvalidReplyError(ValueError):
-    """A reply is none of those that its call can have."""
+    """A reply is not valid for its call."""
 
     def __init__(self, reply: object) -> None:
-        """Keep the reply, as the parser read it."""
-        super().__init__(f"{reply!r} is not a reply to the call")
+        """Store the parsed reply."""
+        super().__init__(f"{reply!r} is not a valid reply to the call")
         self.reply = reply
 
 
 class CallResult(NamedTuple):
-    """What a reply says of its call.
+    """The result of a call, as parsed from its reply.
 
     Attributes:
         outcome: how the call ended.
-        total: the counter's total after the call, 0 unless the outcome is OK.
+        total_units: the counter's total after the call; 0 unless the outcome is OK.
     """
 
     outcome: Outcome
-    total: float
+    total_units: float
 
 
 class ReplyReader:
-    """Splits what a connection receives into replies."""
+    """Parses the bytes that a connection receives into replies."""
 
-    __slots__ = ("_incomplete_bytes", "_reader")
+    __slots__ = ("_incomplete_reply_bytes", "_reader")
 
     def __init__(self) -> None:
-        """Begin before the first reply of a connection."""
+        """Create a reader for a new connection."""
         self._reader = hiredis.Reader()
-        self._incomplete_bytes = 0  # Length of what came of a reply that is not complete yet.
+        self._incomplete_reply_bytes = 0  # Bytes received of the reply that is incomplete.
 
     def feed(self, data: bytes) -> Iterator[object]:
-        """Yield the replies that `data` completes.
+        """Parse further bytes, and yield the replies that they complete.
 
         Raises:
-            ReplyTooLongError: a reply is too long, or an aggregate.
-            hiredis.ProtocolError: the bytes are not RESP.
+            ReplyTooLongError: a reply exceeds MAX_REPLY_BYTES or is an aggregate.
+            hiredis.ProtocolError: the bytes are not valid RESP.
         """
-        if AGGREGATE_REPLY.search(data):
+        if AGGREGATE_REPLY_PATTERN.search(data):
             raise ReplyTooLongError
-        self._incomplete_bytes += len(data)
+        self._incomplete_reply_bytes += len(data)
         self._reader.feed(data)
         while (reply := self._reader.gets()) is not False:
-            self._incomplete_bytes = 0
+            self._incomplete_reply_bytes = 0
             yield reply
-        if self._incomplete_bytes > MAX_REPLY_BYTES:
+        if self._incomplete_reply_bytes > MAX_REPLY_BYTES:
             raise ReplyTooLongError
 
 
 def parse_add_reply(reply: object) -> CallResult:
-    """Read the reply to CNT.ADD; raise InvalidReplyError where it is none."""
+    """Parse the reply to CNT.ADD; raise InvalidReplyError if it is not valid."""
     if isinstance(reply, hiredis.ReplyError):
         return _parse_error_reply(reply)
-    if not isinstance(reply, bytes) or not TOTAL.fullmatch(reply):
+    if not isinstance(reply, bytes) or not TOTAL_PATTERN.fullmatch(reply):
         raise InvalidReplyError(reply)
-    total = float(reply)
-    if not math.isfinite(total):
+    total_units = float(reply)
+    if not math.isfinite(total_units):
         raise InvalidReplyError(reply)
-    return CallResult(Outcome.OK, total)
+    return CallResult(Outcome.OK, total_units)
 
 
 def parse_ping_reply(reply: object) -> CallResult:
-    """Read the reply to PING; raise InvalidReplyError where it is none."""
+    """Parse the reply to PING; raise InvalidReplyError if it is not valid."""
     if isinstance(reply, hiredis.ReplyError):
         return _parse_error_reply(reply)
     if reply != b"PONG":
@@ -112,14 +112,14 @@
 
 
 def _parse_error_reply(reply: hiredis.ReplyError) -> CallResult:
-    # A garbled reply may begin with a minus as well, so only the known codes count.
+    # A corrupt reply may also start with a minus sign, so only the known codes are accepted.
     code = str(reply).partition(" ")[0]
-    if code not in NOTHING_ADDED_CODES:
+    if code not in NOT_APPLIED_ERROR_CODES:
         raise InvalidReplyError(reply)
     return CallResult(Outcome.REJECTED, 0.0)
 
 
-def pack_command(*words: str) -> bytes:
-    """Encode a command that consists of `words`: its name and its arguments."""
-    packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub takes one word only
+def pack_command(*command_parts: str) -> bytes:
+    """Encode a command that consists of its name and its arguments."""
+    packed: bytes = hiredis.pack_command(command_parts)  # type: ignore[arg-type]  # its stub accepts one string only
     return packed
