--- a/limiter/transport/discovery/__init__.py
+++ b/limiter/transport/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The client of discovery: long polls for the endpoint list, and its parsing."""
+"""Client of discovery: long polls for the endpoint list, and parses it."""
--- a/limiter/transport/discovery/discovery_connection.py
+++ b/limiter/transport/discovery/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to discovery, and the ways in which a call on it can fail."""
+"""An HTTP connection to discovery, and the errors of the calls on it."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 from limiter.transport.http_response import ResponseProtocol
 
-MAX_LIST_BYTES = 8 * 2**20  # Longest body of a response; a longer one fails its call.
+MAX_LIST_BYTES = 8 * 2**20  # Longest response body; a call with a longer one fails.
 
 
-# The log of a failed call prints these classes by name: they are documented for engineers on call.
+# The class names of these errors appear in the log and are documented for on-call engineers.
 
 
 class DiscoveryConnectionLostError(ConnectionError):
@@ -22,74 +22,76 @@
 
 
 class DiscoveryOverloadedError(ConnectionError):
-    """Discovery has more calls than it can serve; the last list that it sent still holds."""
+    """Discovery is overloaded and rejected the call; the last endpoint list that it sent remains valid."""
 
     def __init__(self, status: int) -> None:
-        """Keep the response's status, of 500 or above."""
-        super().__init__(f"status {status}")
+        """Store the status of the response, which is 500 or above."""
+        super().__init__(f"discovery rejected the call with status {status}")
         self.status = status
 
 
 class UnexpectedStatusError(ValueError):
-    """The response's status is neither 200 nor that of an overload."""
+    """The status of the response is neither 200 nor one that indicates an overload."""
 
     def __init__(self, status: int) -> None:
-        """Keep the response's status."""
-        super().__init__(f"status {status}")
+        """Store the status of the response."""
+        super().__init__(f"expected status 200, got status {status}")
         self.status = status
 
 
 class VersionRegressionError(ValueError):
-    """Changes have a lower version than the list that they should apply to: they belong to another list."""
+    """Changes have a lower version than the known list, so they belong to a different list."""
 
     def __init__(self, version: int, known_version: int) -> None:
-        """Keep the version of the changes and that of the list."""
-        super().__init__(f"generation {version} after {known_version}")
+        """Store the version of the changes and that of the known list."""
+        super().__init__(
+            f"received changes of generation {version}, but the known list has generation {known_version}"
+        )
         self.version = version
         self.known_version = known_version
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryResponse:
-    """A complete response to a call."""
+    """A complete response from discovery."""
 
     status: int
     body: bytes
-    keep_alive: bool  # Whether the connection can carry another call.
+    keep_alive: bool  # Whether the connection can be used for another call.
 
 
 class DiscoveryConnection(ResponseProtocol):
-    """A connection to discovery, which carries one call at a time."""
+    """A connection to discovery, with at most one call in progress."""
 
-    __slots__ = ("_response",)
+    __slots__ = ("_pending_response",)
 
     def __init__(self) -> None:
-        """Make the protocol of a connection that is being opened."""
+        """Create the protocol object for a connection that is being opened."""
         super().__init__(MAX_LIST_BYTES)
-        self._response: asyncio.Future[DiscoveryResponse] | None = None
+        self._pending_response: asyncio.Future[DiscoveryResponse] | None = None
 
     async def get(self, target: str, host: str) -> DiscoveryResponse:
         """Send a GET request and wait for its response.
 
         Args:
-            target: path and query.
+            target: path and query string.
             host: value of the Host header.
 
         Raises:
-            DiscoveryConnectionLostError: the connection is closed, or ends before the response is complete.
+            DiscoveryConnectionLostError: the connection is closed or ends before the response is complete.
         """
         if self.transport is None or self.transport.is_closing():
             raise DiscoveryConnectionLostError
-        self._response = asyncio.get_running_loop().create_future()
+        self._pending_response = asyncio.get_running_loop().create_future()
         self.transport.write(f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
-        return await self._response
+        return await self._pending_response
 
     def response_received(self, status: int, body: bytes, keep_alive: bool) -> None:
-        """Complete the call in progress; a response that no call waits for is ignored."""
-        if self._response is not None and not self._response.done():
-            self._response.set_result(DiscoveryResponse(status, body, keep_alive))
+        """Complete the call in progress; ignore the response if no call is in progress."""
+        if self._pending_response is not None and not self._pending_response.done():
+            self._pending_response.set_result(DiscoveryResponse(status, body, keep_alive))
 
     def connection_failed(self) -> None:
-        """Fail the call in progress, if there is one."""
-        if self._response is not None and not self._response.done():
-            self._response.set_exception(DiscoveryConnectionLostError())
+        """Fail the call in progress, if any."""
+        if self._pending_response is not None and not self._pending_response.done():
+            self._pending_response.set_exception(DiscoveryConnectionLostError())
--- a/limiter/transport/discovery/discovery_watch.py
+++ b/limiter/transport/discovery/discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: long polls for the endpoint list and its changes."""
+"""Watches discovery with long polls for the endpoint list and its changes."""
 
 from __future__ import annotations
 
@@ -32,31 +32,31 @@
 
 LIST_PATH = "/catalog/members"
 
-FailedCallback = Callable[[bool], None]  # Called with whether discovery is overloaded.
+PollFailedCallback = Callable[[bool], None]  # The argument says whether discovery is overloaded.
 
 
-class ChangedCallback(Protocol):
-    """What is called with an endpoint list, or with the changes to the last one."""
+class EndpointListCallback(Protocol):
+    """Receives an endpoint list or the changes to the previous one."""
 
     def __call__(self, servers: list[ListedEndpoint], is_full_list: bool, from_cache: bool) -> None:
-        """Apply a list.
+        """Apply an endpoint list.
 
         Args:
-            servers: the servers that the list names.
-            is_full_list: whether all others have left; otherwise they are unchanged.
-            from_cache: whether it is the configuration's list, which may be old.
+            servers: the servers in the list.
+            is_full_list: whether servers that are not in the list have left; otherwise they are unchanged.
+            from_cache: whether the list comes from the configuration and may be outdated.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryWatchOptions:
-    """Where discovery is, and how it is called.
+    """Address of discovery and parameters of the calls to it.
 
     Attributes:
-        address: address of discovery, or of its agent on this machine.
-        names: numbers of zones and machine kinds.
-        dial_timeout_ms: longest time in which a connection is opened.
-        pacing: durations of the calls.
+        address: address of discovery or of its agent on this host.
+        names: numbers of the zones and machine types.
+        dial_timeout_ms: time after which opening a connection fails.
+        pacing: long poll duration, timeouts and backoff of the calls.
     """
 
     address: Address
@@ -66,25 +66,25 @@
 
 
 class DiscoveryWatch:
-    """Polls discovery for as long as it runs, and reports the endpoint list as it changes.
+    """Polls discovery continuously and reports the endpoint list and its changes.
 
-    A running watch is in one of three states. It waits for the response to a call. Or it waits for its
-    backoff after a failure. Or, where all limiters share a discovery that is overloaded, it waits for
-    `allow_next_poll`, since they agree on the time of each one's next call.
+    A running watch is in one of three states: it waits for the response to a call, it waits for its backoff
+    after a failure, or it waits for `allow_next_poll`. The last state occurs only if all limiters share one
+    discovery and it is overloaded: they then coordinate the times of their next calls.
     """
 
     def __init__(
         self,
         options: DiscoveryWatchOptions,
-        on_changed: ChangedCallback,
-        on_failed: FailedCallback,
+        on_changed: EndpointListCallback,
+        on_failed: PollFailedCallback,
     ) -> None:
-        """Describe a watch, which begins with `start`.
+        """Create a watch; `start` starts it.
 
         Args:
-            options: where discovery is, and how it is called.
-            on_changed: called with an endpoint list, or with the changes to the last one.
-            on_failed: called after each failed call where all limiters share one discovery.
+            options: address of discovery and parameters of the calls to it.
+            on_changed: called with an endpoint list or the changes to the previous one.
+            on_failed: called after each failed call if all limiters share one discovery.
         """
         self._names = options.names
         self._pacing = options.pacing
@@ -92,67 +92,70 @@
         self._on_changed = on_changed
         self._on_failed = on_failed
         self._address = options.address
-        # Version of the list that changes apply to. Without one, the next call asks for a full list.
-        self._version: int | None = None
-        self._is_current = False  # The last call succeeded, so the next may wait for a change.
+        # Version of the last list. The next call requests the changes since then, or a full list if this is
+        # None.
+        self._list_version: int | None = None
+        self._is_list_current = False  # The last call succeeded, so the next one can wait for a change.
         self._backoff = Backoff(FIRST_BACKOFF_SECONDS, options.pacing.max_backoff_seconds)
         self._task: asyncio.Task[None] | None = None
-        self._is_failure_logged = False  # Since the last success; a fault that lasts is logged once.
-        self.first_list_received = asyncio.Event()  # Set once discovery has sent a list since the start.
-        self.poll_allowed = asyncio.Event()  # Cleared by a failed call, set by `allow_next_poll`.
+        self._is_failure_logged = False  # Reset by a success, so that a persistent failure is logged once.
+        self.first_list_received = asyncio.Event()  # Set once discovery has sent a list.
+        self.poll_allowed = asyncio.Event()  # Cleared after a failed call, set by `allow_next_poll`.
 
     def load_configured_endpoints(self, document: object) -> None:
-        """Report the endpoint list of the configuration, which may be old.
+        """Report the endpoint list from the configuration, which may be outdated.
 
-        The first call then asks for the changes since this list: a full list costs discovery a line for each
-        server, for each of many limiters that start together. An agent on this machine is asked for the full
-        list, which costs nothing there, because versions of one agent mean nothing to another.
+        The first call to a shared discovery then requests only the changes since this list. A full list would
+        cost discovery one line per server for each of the many limiters that may start together. An agent on
+        this host is asked for a full list instead: that costs nothing, and the list's version may come from
+        another agent, whose versions are not comparable.
 
         Args:
-            document: the list in discovery's form, or None where the configuration has none.
+            document: the list in discovery's JSON format, or None if the configuration contains none.
 
         Raises:
-            ConfigError: the document is not an endpoint list.
+            ConfigError: the document is not a valid endpoint list.
         """
         if document is None:
             return
         try:
-            known = parse_endpoint_list(document, self._names)
+            configured_list = parse_endpoint_list(document, self._names)
         except MemberListError as error:
             raise ConfigError(key="known", problem=str(error)) from error
-        self._version = None if self._pacing.uses_local_agent else known.version
-        self._on_changed(known.entries, is_full_list=True, from_cache=True)
+        self._list_version = None if self._pacing.uses_local_agent else configured_list.version
+        self._on_changed(configured_list.entries, is_full_list=True, from_cache=True)
 
     def allow_next_poll(self) -> None:
-        """Make the call that waits since discovery was overloaded."""
+        """Allow the next call, which is delayed while discovery is overloaded."""
         self.poll_allowed.set()
 
     def start(self) -> None:
-        """Begin to poll; the event loop must be running."""
+        """Start polling; the event loop must be running."""
         self._is_failure_logged = False
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def change_address(self, address: Address) -> None:
-        """Watch at another address; the list stands until that one has sent its own full list."""
+        """Poll another address; the current list stays in effect until that address sends a full list."""
         if address == self._address:
             return
         self.close()
         self._address = address
         self._backoff.reset()
-        # Each agent counts versions of its own: its changes since our version would leave some out.
-        self._version = None
-        self._is_current = False
+        # Each agent numbers its versions independently, so its changes since the known version would be
+        # incomplete.
+        self._list_version = None
+        self._is_list_current = False
         self.start()
 
     def close(self) -> None:
-        """Stop polling; a call in progress is given up."""
+        """Stop polling and cancel the call in progress."""
         if self._task is not None:
             self._task.cancel()
 
     async def _run(self) -> None:
         while True:
             is_overloaded = await self._poll_until_failure()
-            self._is_current = False
+            self._is_list_current = False
             await self._wait_to_retry(is_overloaded=is_overloaded)
 
     async def _poll_until_failure(self) -> bool:
@@ -162,9 +165,9 @@
             connection = await self._connect()
             while await self._poll(connection):
                 self._is_failure_logged = False
-        except Exception as error:  # noqa: BLE001 - whatever it is, the list must not stay as it is for ever
-            # Only whether it was an overload is returned: the error's traceback holds the response, which has
-            # up to MAX_LIST_BYTES.
+        except Exception as error:  # noqa: BLE001 - any error: otherwise polling stops and the list never changes
+            # The error itself is not returned, because its traceback keeps the response alive, which has up
+            # to MAX_LIST_BYTES.
             self._handle_failure(error)
             return isinstance(error, DiscoveryOverloadedError)
         finally:
@@ -176,15 +179,15 @@
         if not self._is_failure_logged:
             log.warning("discovery_call_failed error=%r", error)
             self._is_failure_logged = True
-        # After a failed connection or an overload the changes since our version are still to be had. After a
-        # response that makes no sense, only a full list is certain.
+        # After a failed connection or an overload, the changes since the known version can still be
+        # requested. After an invalid response, only a full list is reliable.
         if not isinstance(error, OSError):
-            self._version = None
+            self._list_version = None
 
     async def _wait_to_retry(self, *, is_overloaded: bool) -> None:
         delay_seconds = self._backoff.next_delay_seconds()
         if self._pacing.uses_local_agent:
-            # No other limiter calls this agent, so the time of the next call need not be agreed on.
+            # No other limiter calls this agent, so the next call needs no coordination.
             await asyncio.sleep(delay_seconds)
             return
         self.poll_allowed.clear()
@@ -201,39 +204,43 @@
         return connection
 
     async def _poll(self, connection: DiscoveryConnection) -> bool:
-        """Make one call and apply its response; return whether the connection can carry the next."""
-        known_version = self._version
+        """Make one call and apply its response; return whether the connection can be reused."""
+        known_version = self._list_version
         target = LIST_PATH
         long_poll_ms = 0
         if known_version is not None:
-            long_poll_ms = self._pacing.long_poll_ms if self._is_current else CATCH_UP_POLL_MS
+            long_poll_ms = self._pacing.long_poll_ms if self._is_list_current else CATCH_UP_POLL_MS
             target = f"{LIST_PATH}?since={known_version}&timeout_ms={long_poll_ms}"
         host, port = self._address
-        # A machine that was cut off leaves the connection open and sends nothing. Without this timeout the
-        # list would stay as it is.
+        # The connection to an unreachable host stays open without delivering anything. Without this timeout
+        # the list would never be updated again.
         async with asyncio.timeout(long_poll_ms / 1000 + self._pacing.grace_seconds):
             response = await connection.get(target, f"{host}:{port}")
-        received = self._parse(response)
-        if known_version is not None and received.version < known_version and not received.is_full:
-            raise VersionRegressionError(received.version, known_version)
-        self._apply(received, is_full=received.is_full or known_version is None)
+        received_list = self._parse_response(response)
+        if known_version is not None and received_list.version < known_version and not received_list.is_full:
+            raise VersionRegressionError(received_list.version, known_version)
+        self._apply_list(received_list, is_full=received_list.is_full or known_version is None)
         return response.keep_alive
 
-    def _parse(self, response: DiscoveryResponse) -> EndpointList:
+    def _parse_response(self, response: DiscoveryResponse) -> EndpointList:
         if response.status >= 500:
             raise DiscoveryOverloadedError(response.status)
         if response.status != 200:
             raise UnexpectedStatusError(response.status)
         return parse_endpoint_list(json.loads(response.body), self._names)
 
-    def _apply(self, received: EndpointList, *, is_full: bool) -> None:
-        self._version = received.version
+    def _apply_list(self, received_list: EndpointList, *, is_full: bool) -> None:
+        self._list_version = received_list.version
         self._backoff.reset()
-        self._is_current = True
-        # Where all limiters share a discovery, the policy has to hear of each success, even of one without
-        # changes, since it has heard of each failure.
-        if received.entries or received.is_full or not self._pacing.uses_local_agent:
-            self._on_changed(received.entries, is_full_list=is_full, from_cache=False)
+        self._is_list_current = True
+        # If all limiters share one discovery, each failure is reported to the policy, so each success has to
+        # be reported as well, even one without changes.
+        if received_list.entries or received_list.is_full or not self._pacing.uses_local_agent:
+            self._on_changed(received_list.entries, is_full_list=is_full, from_cache=False)
         if not self.first_list_received.is_set():
-            log.info("discovery_list_received version=%d entries=%d", received.version, len(received.entries))
+            log.info(
+                "discovery_list_received version=%d entries=%d",
+                received_list.version,
+                len(received_list.entries),
+            )
             self.first_list_received.set()
--- a/limiter/transport/discovery/endpoint_list.py
+++ b/limiter/transport/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint list: its form in JSON, and the endpoints that are read from it."""
+"""Discovery's endpoint list: its JSON format, and the endpoints parsed from it."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.GONE,
 }
-# Length of the digest from which the number of an unknown name is made.
+# Length of the digest from which the number of an unknown name is derived.
 NUMBER_DIGEST_BYTES = 8
-# Set in the numbers of unknown names, so that they lie above the indices of all known ones.
+# Set in the numbers of unknown names, which makes them greater than the indices of all known names.
 UNKNOWN_NAME_BIT = 1 << (8 * NUMBER_DIGEST_BYTES)
 
 
 class MemberListError(ValueError):
-    """A document is not an endpoint list; the message names the key that is wrong.
+    """A document is not a valid endpoint list; the message names the invalid key.
 
-    The log prints this class by name, which is documented for engineers on call.
+    The class name appears in the log and is documented for on-call engineers.
     """
 
 
 class ListedEndpoint(NamedTuple):
-    """One entry of an endpoint list: the server as the policy knows it, and where it listens."""
+    """An entry of an endpoint list: the server in the policy's data model, and its address."""
 
     endpoint: Endpoint
     address: Address
 
 
 class EndpointList(NamedTuple):
-    """All servers, or the changes to an earlier version of the list.
+    """A full list of the servers, or the changes since an earlier version.
 
     Attributes:
-        version: generation of the list; a later one is higher.
-        is_full: whether servers that it does not name have left. Otherwise they are unchanged.
-        entries: the servers that it names.
+        version: generation of the list, which increases with each change.
+        is_full: whether servers without an entry have left. Otherwise they are unchanged.
+        entries: the listed servers.
     """
 
     version: int
@@ -50,45 +50,46 @@
 
 
 class NameNumbering:
-    """Numbers of zones and machine kinds: the index in the settings, or a number derived from the name.
+    """Maps names of zones and machine types to numbers.
 
-    Names that the settings do not have are not remembered, since new ones may come all day.
+    The number is the index of the name in the settings or, for an unknown name, a hash of it. Unknown names
+    are not stored, because new ones may appear at any time and the mapping would grow without limit.
     """
 
     __slots__ = ("kinds", "zones")
 
-    def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
-        """Number the zones and the machine kinds of the settings in their order."""
+    def __init__(self, zones: Sequence[str], machine_types: Sequence[str]) -> None:
+        """Number the zones and machine types in the order of the settings."""
         self.zones = {name: index for index, name in enumerate(zones)}
-        self.kinds = {name: index for index, name in enumerate(kinds)}
+        self.kinds = {name: index for index, name in enumerate(machine_types)}
 
     def zone_number(self, name: str) -> int:
         """Return the number of a zone."""
-        return _number(name, self.zones)
+        return _find_or_derive_number(name, self.zones)
 
-    def kind_number(self, name: str) -> int:
-        """Return the number of a machine kind."""
-        return _number(name, self.kinds)
+    def machine_type_number(self, name: str) -> int:
+        """Return the number of a machine type."""
+        return _find_or_derive_number(name, self.kinds)
 
 
 def parse_endpoint_list(document: Any, names: NameNumbering) -> EndpointList:
-    """Read an endpoint list.
+    """Parse an endpoint list.
 
     Args:
-        document: parsed JSON.
-        names: numbers of zones and machine kinds.
+        document: the decoded JSON document.
+        names: numbers of the zones and machine types.
 
     Raises:
-        MemberListError: the document is not an endpoint list.
+        MemberListError: the document is not a valid endpoint list.
     """
     try:
         return _parse_document(document, names)
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        message = f"not a list of servers: {error!r}"
+        message = f"invalid endpoint list: {error!r}"
         raise MemberListError(message) from error
     except MemberListError:
         raise
-    except ValueError as error:  # The address is malformed, or a text has characters that are not Unicode.
+    except ValueError as error:  # The address is malformed, or a string cannot be encoded as UTF-8.
         raise MemberListError(str(error)) from error
 
 
@@ -96,13 +97,13 @@
     items = document["instances"]
     version = document["generation"]
     is_full = document["reset"]
-    # Without this check an empty object would be read as "no server is left".
+    # Without this check an empty object would be read as an empty list, and all servers would be removed.
     if not isinstance(items, list):
-        message = "not a list of servers: instances"
+        message = "invalid endpoint list: instances is not an array"
         raise MemberListError(message)
     entries = [_parse_entry(item, names) for item in items]
     if not isinstance(version, int) or not isinstance(is_full, bool):
-        message = "not a list of servers: generation or reset"
+        message = "invalid endpoint list: generation is not an integer or reset is not a boolean"
         raise MemberListError(message)
     return EndpointList(version, is_full, entries)
 
@@ -110,16 +111,16 @@
 def _parse_entry(item: Any, names: NameNumbering) -> ListedEndpoint:
     endpoint_id = item["instanceId"]
     zone = item.get("zone", "")
-    kind = item.get("machineType", "")
-    if not all(isinstance(text, str) for text in (endpoint_id, zone, kind)) or not endpoint_id:
-        message = "not a server: instanceId, zone or machineType"
+    machine_type = item.get("machineType", "")
+    if not all(isinstance(text, str) for text in (endpoint_id, zone, machine_type)) or not endpoint_id:
+        message = "invalid endpoint: instanceId, zone or machineType is not a string, or instanceId is empty"
         raise MemberListError(message)
     cell = item.get("cell", 0)
     weight = item.get("weight", 1.0)
     started_at_ms = item.get("startedAtMs", 0)
     numbers = (cell, weight, started_at_ms)
     if not all(isinstance(number, int | float) and math.isfinite(number) for number in numbers):
-        message = "not a server: cell, weight or startedAtMs"
+        message = "invalid endpoint: cell, weight or startedAtMs is not a finite number"
         raise MemberListError(message)
     state = _parse_state(item["lifecycle"])
     endpoint = Endpoint(
@@ -127,7 +128,7 @@
         state=state,
         zone=names.zone_number(zone),
         cell=int(cell),
-        machine_type=names.kind_number(kind),
+        machine_type=names.machine_type_number(machine_type),
         weight=float(weight),
         started_at=float(started_at_ms),
     )
@@ -137,15 +138,16 @@
 def _parse_state(lifecycle: Any) -> EndpointState:
     state = LIFECYCLE_STATES.get(lifecycle)
     if state is None:
-        message = f"not a server: lifecycle {lifecycle!r}"
+        message = f"invalid endpoint: unknown lifecycle {lifecycle!r}"
         raise MemberListError(message)
     return state
 
 
-def _number(name: str, known_numbers: dict[str, int]) -> int:
-    number = known_numbers.get(name)
+def _find_or_derive_number(name: str, numbers_by_name: dict[str, int]) -> int:
+    number = numbers_by_name.get(name)
     if number is not None:
         return number
-    # Unknown zones must not share a number: repeats of a request with a key are dropped within a zone only.
+    # Unknown zones must not share a number, because requests with the same idempotency key are deduplicated
+    # only within a zone.
     digest = hashlib.blake2b(name.encode(), digest_size=NUMBER_DIGEST_BYTES).digest()
     return int.from_bytes(digest) | UNKNOWN_NAME_BIT
--- a/limiter/transport/discovery/poll_pacing.py
+++ b/limiter/transport/discovery/poll_pacing.py
@@ -1,44 +1,46 @@
-"""How long calls to discovery wait for a change, and how soon a call without a response has failed."""
+"""Timing of the calls to discovery: long poll duration, timeouts and backoff."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Shortest long poll of a discovery that all limiters share. It is short enough that a discovery which no
-# longer responds is noticed soon.
+# Shortest long poll to a discovery that all limiters share. It is short enough to detect an unresponsive
+# discovery quickly.
 MIN_LONG_POLL_MS = 4000
-# Longest long poll, in a fleet of any size: a discovery that has died must be noticed in the end.
+# Longest long poll, regardless of the size of the fleet: a dead discovery has to be detected eventually.
 MAX_LONG_POLL_MS = 20000
-# Calls of all limiters together while nothing changes. Discovery's capacity does not grow with the fleet.
-MAX_CALLS_PER_SECOND = 4.0
-# Time beyond the long poll after which a call has failed. It is below 2 s, after which a change counts as
-# known to every limiter.
-GRACE_SECONDS = 1.5
-# Longest delay between two failed calls to a shared discovery.
+# Limit on the calls of all limiters together while the list does not change. Discovery's capacity does not
+# grow with the fleet.
+MAX_FLEET_CALLS_PER_SECOND = 4.0
+# Time after the end of the long poll after which a call has failed. It is below 2 s, the time after which a
+# change is considered known to every limiter.
+RESPONSE_GRACE_SECONDS = 1.5
+# Longest backoff after a failed call to a shared discovery.
 MAX_BACKOFF_SECONDS = 1.0
 
-# Where lists are pushed, an agent on this machine responds at once and at no cost. Its changes count as known
-# immediately, so an agent that no longer responds must be noticed well within 250 ms, the shortest time in
-# which sends have to stop.
-PUSHED_LONG_POLL_MS = 1000
-PUSHED_GRACE_SECONDS = 0.15
+# If lists are pushed, an agent on this host responds immediately and at no cost. Its changes are considered
+# known immediately, so an unresponsive agent has to be detected well within 250 ms, the shortest time within
+# which sending to a server has to stop.
+LOCAL_AGENT_LONG_POLL_MS = 1000
+LOCAL_AGENT_RESPONSE_GRACE_SECONDS = 0.15
 
-# Delay between a failed call and the next. It doubles with each further failure, up to the pacing's bound.
+# Backoff after a first failed call. It doubles with each further failure, up to the maximum of the pacing.
 FIRST_BACKOFF_SECONDS = 0.05
-# Long poll of the first call after a failure: it asks for what discovery knows already, without a wait.
+# Long poll of the first call after a failure: it returns what discovery already knows without waiting for a
+# change.
 CATCH_UP_POLL_MS = 1
 
 
 @dataclass(frozen=True, slots=True)
 class PollPacing:
-    """Durations of the calls to discovery.
+    """Long poll duration, timeouts and backoff of the calls to discovery.
 
     Attributes:
-        long_poll_ms: how long a call waits for a change.
-        grace_seconds: time beyond the long poll after which a call has failed; also bounds a dial.
-        max_backoff_seconds: longest delay between two failed calls.
-        uses_local_agent: whether an agent on this machine is called. Its calls cost nothing, a full list
-            costs no more than its changes, and no other limiter uses it.
+        long_poll_ms: how long discovery holds a call while there is no change.
+        grace_seconds: time after the end of the long poll after which a call has failed; also limits a dial.
+        max_backoff_seconds: longest backoff after a failed call.
+        uses_local_agent: whether an agent on this host is called. Its calls cost nothing, a full list costs
+            no more than the changes, and no other limiter uses it.
     """
 
     long_poll_ms: int
@@ -48,16 +50,19 @@
 
     @classmethod
     def for_fleet(cls, limiter_count: int, *, uses_local_agent: bool) -> PollPacing:
-        """Choose the pacing for a fleet.
+        """Return the pacing for a fleet of limiters.
 
         Args:
             limiter_count: number of limiters that call the same discovery.
-            uses_local_agent: whether each limiter has an agent of its own instead.
+            uses_local_agent: whether each limiter calls an agent on its own host instead.
         """
         if uses_local_agent:
             return cls(
-                PUSHED_LONG_POLL_MS, PUSHED_GRACE_SECONDS, FIRST_BACKOFF_SECONDS, uses_local_agent=True
+                LOCAL_AGENT_LONG_POLL_MS,
+                LOCAL_AGENT_RESPONSE_GRACE_SECONDS,
+                FIRST_BACKOFF_SECONDS,
+                uses_local_agent=True,
             )
-        fair_share_ms = round(1000 * limiter_count / MAX_CALLS_PER_SECOND)
-        long_poll_ms = min(MAX_LONG_POLL_MS, max(MIN_LONG_POLL_MS, fair_share_ms))
-        return cls(long_poll_ms, GRACE_SECONDS, MAX_BACKOFF_SECONDS, uses_local_agent=False)
+        min_poll_for_call_rate_ms = round(1000 * limiter_count / MAX_FLEET_CALLS_PER_SECOND)
+        long_poll_ms = min(MAX_LONG_POLL_MS, max(MIN_LONG_POLL_MS, min_poll_for_call_rate_ms))
+        return cls(long_poll_ms, RESPONSE_GRACE_SECONDS, MAX_BACKOFF_SECONDS, uses_local_agent=False)
