--- a/limiter/transport/gossip/__init__.py
+++ b/limiter/transport/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Datagrams between limiters, over UDP."""
+"""Gossip messages between limiters, over UDP."""
--- a/limiter/transport/gossip/gossip_socket.py
+++ b/limiter/transport/gossip/gossip_socket.py
@@ -1,4 +1,4 @@
-"""Datagrams between limiters: sent to all members of the fleet, received from members only."""
+"""UDP socket for gossip: sends datagrams to all members of the fleet and accepts them from members only."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 log = logging.getLogger(__name__)
 
-# Datagrams that are read in one turn of the event loop. Others wait, so that requests get their turn.
-MAX_READS_PER_TURN = 64
+# Limit on the datagrams read in one event loop iteration, so that gossip does not delay requests.
+MAX_READS_PER_ITERATION = 64
 
 MessageCallback = Callable[[int, bytes], None]  # Called with the sender's index and the message.
 
 
 class GossipSocket:
-    """A UDP socket that is read for as long as it is open."""
+    """A UDP socket that receives messages until it is closed."""
 
     def __init__(self, config: GossipConfig, own_index: int, on_message: MessageCallback) -> None:
-        """Bind and read; the event loop must be running.
+        """Bind the socket and start receiving; the event loop must be running.
 
         Args:
-            config: addresses of this limiter and of all members.
+            config: listen address of this limiter and addresses of all members.
             own_index: index of this limiter among the members.
-            on_message: called with each message of another member.
+            on_message: called with each message from another member.
 
         Raises:
             OSError: the address cannot be bound.
@@ -36,19 +36,18 @@
         self._own_index = own_index
         self._on_message = on_message
         self._member_indices = {member: index for index, member in enumerate(config.members)}
-        self._targets = _targets(config, own_index)
-        self._has_send_failed = (
-            False  # The last send failed; that is logged once until a message leaves again.
-        )
-        self._socket = _bind(config.listen)
+        self._broadcast_addresses = _select_broadcast_addresses(config, own_index)
+        # The last send failed. Reset by a success, so that a persistent failure is logged once.
+        self._has_send_failed = False
+        self._socket = _bind_socket(config.listen)
         self._loop = asyncio.get_running_loop()
-        self._loop.add_reader(self._socket, self._read)
+        self._loop.add_reader(self._socket, self._read_messages)
 
     def broadcast(self, message: bytes) -> None:
-        """Send to all members; what the kernel has no buffer for is lost, as any datagram may be."""
-        for target in self._targets:
+        """Send a message to all members; it is lost, as any datagram may be, if the send buffer is full."""
+        for address in self._broadcast_addresses:
             try:
-                self._socket.sendto(message, target)
+                self._socket.sendto(message, address)
             except OSError as error:
                 if not self._has_send_failed:
                     log.warning("gossip_send_failed error=%r", error)
@@ -57,16 +56,17 @@
                 self._has_send_failed = False
 
     def close(self) -> None:
-        """Stop reading, and close the socket."""
+        """Stop receiving and close the socket."""
         self._loop.remove_reader(self._socket)
         self._socket.close()
 
-    def _read(self) -> None:
-        for _ in range(MAX_READS_PER_TURN):
+    def _read_messages(self) -> None:
+        for _ in range(MAX_READS_PER_ITERATION):
             try:
-                # One byte more than allowed is read, so that a longer message can be told from the longest.
+                # Reads one byte more than allowed, to distinguish a message that is too long from the longest
+                # allowed one.
                 message, sender = self._socket.recvfrom(MAX_MESSAGE_BYTES + 1)
-            except OSError:  # There is nothing more to read, or an earlier send met a closed port.
+            except OSError:  # Nothing left to read, or an earlier send reached a closed port.
                 return
             sender_index = self._member_indices.get(sender[:2])
             if sender_index is None or sender_index == self._own_index:
@@ -75,18 +75,18 @@
                 self._on_message(sender_index, message)
 
 
-def _targets(config: GossipConfig, own_index: int) -> list[Address]:
-    """Return where a broadcast goes: to one address that stands for all members, or to each other member."""
+def _select_broadcast_addresses(config: GossipConfig, own_index: int) -> list[Address]:
+    """Return the shared address that reaches all members, if any, or the addresses of all other members."""
     if config.everyone:
         return [config.everyone]
     return [member for index, member in enumerate(config.members) if index != own_index]
 
 
-def _bind(listen: Address) -> socket.socket:
-    """Return a bound socket that does not block."""
+def _bind_socket(listen: Address) -> socket.socket:
+    """Return a bound, non-blocking socket."""
     host, _ = listen
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    bound = socket.socket(family, socket.SOCK_DGRAM)
-    bound.setblocking(False)
-    bound.bind(listen)
-    return bound
+    bound_socket = socket.socket(family, socket.SOCK_DGRAM)
+    bound_socket.setblocking(False)
+    bound_socket.bind(listen)
+    return bound_socket
