--- a/limiter/transport/discovery/discovery_connection.py
+++ b/limiter/transport/discovery/discovery_connection.py
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         """Set the message that the log shows."""
-        super().__init__("connection lost")
+        super().__init__("connection closed before the response was complete")
 
 
 class DiscoveryOverloadedError(ConnectionError):
