--- a/limiter/transport/servers/server_connection.py
+++ b/limiter/transport/servers/server_connection.py
@@ -69,7 +69,7 @@
         self._attempt: Attempt | None = None
         # Monotonic time at which the connection last became idle; None if it never was.
         self._idle_since_seconds: float | None = None
-        # Idle time before the attempt in flight; None if that attempt is the first on this connection.
+        # Idle time before the attempt in flight; None on a connection that has not been idle yet.
         self._idle_seconds_before_attempt: float | None = None
         # Monotonic time at which the most recent bytes of a response arrived.
         self._last_received_seconds = 0.0
