--- a/limiter/transport/discovery/endpoint_list.py
+++ b/limiter/transport/discovery/endpoint_list.py
@@ -56,12 +56,12 @@
     are not stored, because new ones may appear at any time and the mapping would grow without limit.
     """
 
-    __slots__ = ("kinds", "zones")
+    __slots__ = ("machine_types", "zones")
 
     def __init__(self, zones: Sequence[str], machine_types: Sequence[str]) -> None:
         """Number the zones and machine types in the order of the settings."""
         self.zones = {name: index for index, name in enumerate(zones)}
-        self.kinds = {name: index for index, name in enumerate(machine_types)}
+        self.machine_types = {name: index for index, name in enumerate(machine_types)}
 
     def zone_number(self, name: str) -> int:
         """Return the number of a zone."""
@@ -69,7 +69,7 @@
 
     def machine_type_number(self, name: str) -> int:
         """Return the number of a machine type."""
-        return _find_or_derive_number(name, self.kinds)
+        return _find_or_derive_number(name, self.machine_types)
 
 
 def parse_endpoint_list(document: Any, names: NameNumbering) -> EndpointList:
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -67,7 +67,7 @@
     assert (zones[0], zones[4]) == (0, 1)
     assert zones[1] == zones[3] != zones[2]
     assert len(set(zones)) == 4
-    assert len(names.zones) + len(names.kinds) == 3
+    assert len(names.zones) + len(names.machine_types) == 3
 
 
 @pytest.mark.parametrize(
