--- a/limiter/transport/__init__.py
+++ b/limiter/transport/__init__.py
@@ -1,1 +1,1 @@
-"""The limiter on real sockets: transport and timing around the decision module. Decides nothing."""
+"""Network transport and timers of the limiter process; all decisions are made by `limiter.policy`."""
--- a/limiter/transport/clock.py
+++ b/limiter/transport/clock.py
@@ -1,4 +1,4 @@
-"""The clock that the policy's events are stamped with."""
+"""Clock that provides the timestamps of the policy's events."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 
 class Clock:
-    """Unix time in milliseconds: read from the system once, then advanced by the monotonic clock.
+    """Unix time in milliseconds: read from the system clock once, then advanced by the monotonic clock.
 
-    Counter keys hold an epoch of this time, so all limiters must agree on it. A step of the system's clock,
-    though, must neither end requests early nor hold them for ever.
+    Counter keys contain an epoch that is computed from this time, so the clocks of all limiters must agree.
+    If the system clock is stepped later, requests must neither end early nor stay open for ever, so the step
+    is ignored.
     """
 
     __slots__ = ("_offset_seconds",)
 
     def __init__(self) -> None:
-        """Read the system's time."""
+        """Read the system clock."""
         self._offset_seconds = time.time() - time.monotonic()
 
     def __call__(self) -> float:
-        """Return the time now, in milliseconds."""
+        """Return the current Unix time in milliseconds."""
         return (self._offset_seconds + time.monotonic()) * 1000.0
--- a/limiter/transport/sockets.py
+++ b/limiter/transport/sockets.py
@@ -1,7 +1,7 @@
-"""Questions to a connection's socket, and its end, within the present turn of the event loop.
+"""Checks and closes a connection's socket immediately, without waiting for the event loop.
 
-The event loop reports what a socket received only in its next turn. Where a request is about to be written,
-what the kernel has received by now decides whether the connection can still be used.
+The event loop reports received data and disconnections only in its next iteration. Before a request is
+written, the state of the socket in the kernel decides whether the connection can still be used.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 
 def has_unread_input(transport: asyncio.WriteTransport) -> bool:
-    """Whether the kernel holds bytes, or the peer's end of the stream, that the event loop has not read."""
+    """Return whether the kernel holds bytes or an end of stream that the event loop has not read yet."""
     poll = select.poll()
-    poll.register(_descriptor_of(transport), select.POLLIN)
+    poll.register(_get_file_descriptor(transport), select.POLLIN)
     return bool(poll.poll(0))
 
 
 def has_peer_disconnected(transport: asyncio.WriteTransport) -> bool:
-    """Whether the peer has closed, reset or half-closed the connection, even behind bytes yet unread."""
+    """Return whether the peer has closed, reset or half-closed the connection, even if input is unread."""
     if transport.is_closing():
         return True
-    descriptor = _descriptor_of(transport)
+    descriptor = _get_file_descriptor(transport)
     poll = select.poll()
     poll.register(descriptor, select.POLLIN | select.POLLRDHUP)
     ready = poll.poll(0)
@@ -33,41 +33,41 @@
     _, events = ready[0]
     if events & ~select.POLLIN:
         return True
-    # Some systems report no hang-up; there the end of the stream shows as a read of no bytes.
-    with _borrowed_socket(descriptor) as borrowed:
+    # Some systems do not report a hang-up event. There, a read of zero bytes shows the end of the stream.
+    with _socket_for_descriptor(descriptor) as sock:
         try:
-            return not borrowed.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+            return not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
         except OSError:
             return True
 
 
-def close_at_once(transport: asyncio.WriteTransport) -> None:
-    """Shut the socket down in this turn of the event loop, and close the transport.
+def close_socket_immediately(transport: asyncio.WriteTransport) -> None:
+    """Shut the socket down in the current iteration of the event loop, and close the transport.
 
-    `transport.abort` alone closes the socket in a later turn. An attempt that is sent to another server
-    before that would overlap with this one.
+    `transport.abort` alone would close the socket in a later iteration. An attempt that is sent to another
+    server in the meantime would overlap with the attempt on this connection.
     """
     if not transport.is_closing():
         with (
-            _borrowed_socket(_descriptor_of(transport)) as borrowed,
-            contextlib.suppress(OSError),  # The peer has closed the connection already.
+            _socket_for_descriptor(_get_file_descriptor(transport)) as sock,
+            contextlib.suppress(OSError),  # The peer has already closed the connection.
         ):
-            borrowed.shutdown(socket.SHUT_RDWR)
+            sock.shutdown(socket.SHUT_RDWR)
     transport.abort()
 
 
-def _descriptor_of(transport: asyncio.WriteTransport) -> int:
+def _get_file_descriptor(transport: asyncio.WriteTransport) -> int:
     descriptor: int = transport.get_extra_info("socket").fileno()
     return descriptor
 
 
 @contextlib.contextmanager
-def _borrowed_socket(descriptor: int) -> Iterator[socket.socket]:
-    """Yield a socket object for a descriptor that the transport goes on to own."""
-    borrowed = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=descriptor)
+def _socket_for_descriptor(descriptor: int) -> Iterator[socket.socket]:
+    """Yield a socket object for a file descriptor that the transport continues to own."""
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=descriptor)
     try:
-        yield borrowed
+        yield sock
     finally:
-        borrowed.detach()
+        sock.detach()
