--- a/limiter/transport/clients/client_connection.py
+++ b/limiter/transport/clients/client_connection.py
@@ -281,7 +281,7 @@
             and has_unread_input(self.transport)
         )
 
-    def has_hung_up(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the client has closed its connection, even if the loop has not read that yet."""
         return self.transport is None or has_peer_disconnected(self.transport)
 
--- a/limiter/transport/clients/request_handler.py
+++ b/limiter/transport/clients/request_handler.py
@@ -58,7 +58,7 @@
         """Return the request to submit when its turn comes, or its response if no server is needed."""
         path = request.target.partition(b"?")[0]
         if path == HEALTH_PATH:
-            return READY if self._proxy.ready and not self._is_draining else NOT_READY
+            return READY if self._proxy.is_ready and not self._is_draining else NOT_READY
         try:
             event = self._validator.validate(request, path, self._requests.next_number(), self._clock())
         except BadRequestError as error:
--- a/limiter/transport/driver/__init__.py
+++ b/limiter/transport/driver/__init__.py
@@ -1,1 +1,1 @@
-"""Carries the policy's actions out and hands it events: the requests in hand and their attempts."""
+"""Passes events to the policy and executes its actions: open requests, their attempts and timers."""
--- a/limiter/transport/driver/proxied_request.py
+++ b/limiter/transport/driver/proxied_request.py
@@ -1,4 +1,4 @@
-"""A client's request while it is proxied, and the table of all that are."""
+"""A client's request while it is proxied, and the table of all such requests."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class ResponseSink(Protocol):
-    """Where the final response goes."""
+    """The client connection that receives the final response."""
 
     def write_response(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
         """Write the final response."""
 
-    def has_hung_up(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the client has closed its connection."""
 
     def close(self) -> None:
@@ -26,10 +26,10 @@
 
 
 class ProxiedRequest:
-    """A client's request from its last byte until it is finished and no attempt is in flight.
+    """A client's request, from its complete receipt until it is finished and has no attempt in flight.
 
-    It is finished once, by its final response or by its client's disconnecting: `finish` alone does that.
-    Attempts in flight may outlive that; the request table releases the request after the last of them.
+    A request is finished exactly once, by its final response or because its client disconnects, and always by
+    `finish`. Its attempts in flight may end later; the request table releases the request after the last one.
     """
 
     __slots__ = (
@@ -41,8 +41,8 @@
         "body",
         "client_request_id",
         "event",
-        "finished",
         "head",
+        "is_finished",
         "may_have_run",
     )
 
@@ -54,13 +54,13 @@
         head: bytes,
         body: bytes,
     ) -> None:
-        """Describe a request that was read and is not submitted yet.
+        """Create a request that was read and is not submitted yet.
 
         Args:
-            client: Where its final response goes.
-            event: What the policy decides on.
-            client_request_id: The id that the client gave it.
-            head: Request line and headers for the server, but for the deadline and the blank line.
+            client: Receives the final response.
+            event: The event that the policy handles for this request.
+            client_request_id: The id that the client gave the request.
+            head: Request line and headers for the server, without the deadline header and the blank line.
             body: The body for the server.
         """
         self._client: ResponseSink | None = client
@@ -68,81 +68,81 @@
         self.client_request_id = client_request_id
         self.head = head
         self.body = body
-        # Its deadline, on the clock of the events.
+        # The deadline, in milliseconds of the events' clock.
         self._expires_at_ms = event.expires_at
-        # How many attempts were begun, which is also the number of the next one.
+        # Number of attempts that were started, which is also the number of the next attempt.
         self.attempt_count = 0
         self.attempts_in_flight: list[Attempt] = []
-        self.may_have_run = False  # An outcome of its attempts says that a server may have run it.
-        self.finished = False
+        self.may_have_run = False  # The outcome of an attempt says that a server may have run it.
+        self.is_finished = False
         self._deadline_timer: asyncio.TimerHandle | None = None
 
-    # Its end
+    # End of the request
 
     def finish(self) -> ResponseSink | None:
-        """Mark it finished; return where its response goes, None if it was finished before."""
+        """Mark the request as finished; return its client, or None if it was finished before."""
         client = self._client
         self._client = None
-        self.finished = True
+        self.is_finished = True
         return client
 
-    def finish_if_hung_up(self) -> bool:
-        """Finish it if its client has hung up; return whether it is finished.
+    def finish_if_client_disconnected(self) -> bool:
+        """Finish the request if its client has disconnected; return whether the request is finished.
 
-        Ask before anything is sent for it: after a long turn of the loop, or a wait for the processor, the
-        client's end may be still unread.
+        Call this before anything is sent for the request: after a long iteration of the event loop, or a wait
+        for the processor, the event loop may not have read the end of the client's stream yet.
         """
         client = self._client
-        if client is not None and client.has_hung_up():
+        if client is not None and client.has_disconnected():
             self.finish()
             client.close()
-        return self.finished
+        return self.is_finished
 
-    # Its deadline
+    # Deadline
 
     def remaining_ms(self, now_ms: float) -> float:
-        """Return the time until its deadline in milliseconds, below 0 after it."""
+        """Return the time until the deadline in milliseconds; negative after the deadline."""
         return self._expires_at_ms - now_ms
 
     def expire(self, now_ms: float) -> None:
-        """Bring its deadline forward to now, so that no time is left for another attempt."""
+        """Set the deadline to now, so that no time is left for another attempt."""
         self._expires_at_ms = now_ms
 
-    def deadline_timer_started(self, timer: asyncio.TimerHandle) -> None:
-        """Keep the timer that ends the request at its deadline."""
+    def set_deadline_timer(self, timer: asyncio.TimerHandle) -> None:
+        """Store the timer that ends the request at its deadline."""
         self._deadline_timer = timer
 
-    def deadline_timer_fired(self) -> None:
-        """Let go of the timer, which cannot be cancelled any more."""
+    def clear_deadline_timer(self) -> None:
+        """Remove the reference to the timer after it has fired."""
         self._deadline_timer = None
 
     def cancel_deadline_timer(self) -> None:
-        """Cancel the timer; without effect if none is set."""
+        """Cancel the deadline timer, if one is set."""
         if self._deadline_timer is not None:
             self._deadline_timer.cancel()
             self._deadline_timer = None
 
-    # Its attempts
+    # Attempts
 
-    def attempt_started(self, attempt: Attempt) -> None:
-        """Note that an attempt was begun."""
+    def record_attempt_started(self, attempt: Attempt) -> None:
+        """Record that an attempt was started."""
         self.attempt_count += 1
         self.attempts_in_flight.append(attempt)
 
-    def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Note that an attempt has ended."""
+    def record_attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Record that an attempt has ended."""
         self.attempts_in_flight.remove(attempt)
         if outcome not in NOT_EXECUTED_OUTCOMES:
             self.may_have_run = True
 
 
 class RequestTable:
-    """All requests that were submitted and not released, by number, and the clients' ids in use."""
+    """Holds the requests that were submitted and not released, and the client request ids in use."""
 
     def __init__(self) -> None:
-        """Make a table without requests."""
+        """Create an empty table."""
         self.by_number: dict[int, ProxiedRequest] = {}
-        # The clients' ids of all requests that were read and are not released, submitted or not.
+        # Client request ids of all requests that were read and are not released, submitted or not.
         self.client_request_ids: set[bytes] = set()
         self._numbers = itertools.count()
 
@@ -151,23 +151,23 @@
         return next(self._numbers)
 
     def claim_client_request_id(self, client_request_id: bytes) -> bool:
-        """Take an id for a request that was read; return False if another request has it."""
+        """Reserve the id of a request that was read; return False if another request uses it."""
         if client_request_id in self.client_request_ids:
             return False
         self.client_request_ids.add(client_request_id)
         return True
 
     def add(self, request: ProxiedRequest) -> None:
-        """Enter a request that is submitted."""
+        """Add a request that is submitted."""
         self.by_number[request.event.id] = request
 
     def is_submitted(self, request: ProxiedRequest) -> bool:
-        """Return whether a request was submitted and is not released."""
+        """Return whether a request was submitted and is not released yet."""
         return request.event.id in self.by_number
 
     def list_unanswered(self) -> list[ProxiedRequest]:
-        """Return the requests that are still owed a response."""
-        return [request for request in self.by_number.values() if not request.finished]
+        """Return the submitted requests whose clients still wait for a response."""
+        return [request for request in self.by_number.values() if not request.is_finished]
 
     def respond(
         self,
@@ -177,8 +177,8 @@
         content_type: bytes = b"",
         retry_after_ms: float = 0.0,
     ) -> None:
-        """Give the one final response; whatever comes after it for this request is dropped."""
-        if request.finished:
+        """Write the final response; has no effect on a request that is finished."""
+        if request.is_finished:
             return
         client = request.finish()
         if client is not None:
@@ -186,8 +186,8 @@
         self.release_if_done(request)
 
     def release_if_done(self, request: ProxiedRequest) -> None:
-        """Release what is finished and has no attempt in flight: no record or timer may outlive it."""
-        if not request.finished or request.attempts_in_flight:
+        """Release a finished request without attempts in flight, so that no entry or timer outlives it."""
+        if not request.is_finished or request.attempts_in_flight:
             return
         request.cancel_deadline_timer()
         self.by_number.pop(request.event.id, None)
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -1,4 +1,4 @@
-"""Drives the policy engine: events to it, its actions carried out, its timers."""
+"""Drives the policy engine: passes events to it, executes its actions and runs its timers."""
 
 from __future__ import annotations
 
@@ -48,27 +48,27 @@
 
 # Interval at which connections to servers that were idle for too long are closed.
 SWEEP_INTERVAL_SECONDS = 1.0
-# Share of the file descriptors that is for connections to servers.
-SERVER_CONNECTION_SHARE = 0.4
+# Fraction of the file descriptors that is for connections to servers.
+SERVER_DESCRIPTOR_SHARE = 0.4
 
 
 class Proxy:
-    """One limiter: the policy engine, and what carries out its decisions.
+    """One limiter: the policy engine, and the sockets and timers that execute its decisions.
 
-    The engine sees events one at a time; each of its actions is carried out before the next event.
+    The engine handles one event at a time; all actions for an event are executed before the next event.
     """
 
     def __init__(self, config: Config, clock: Clock) -> None:
-        """Open the socket for gossip, and connect to the counter in the background.
+        """Open the gossip socket, and start to connect to the counter in the background.
 
-        Connections to servers are opened when they are needed; discovery is polled from `discovery.start` on.
+        Connections to servers are opened on demand; discovery is polled once `discovery.start` was called.
 
         Args:
             config: The configuration of the process.
             clock: The clock of the events, shared with the request handler.
 
         Raises:
-            OSError: The address for gossip cannot be bound.
+            OSError: The gossip address cannot be bound.
         """
         self._loop = asyncio.get_running_loop()
         self._clock = clock
@@ -77,18 +77,18 @@
         self.server_pool = ServerPool(
             dial_timeout_ms=config.dial_timeout_ms,
             keepalive_ms=config.keepalive_ms,
-            max_connections=config.descriptor_share(SERVER_CONNECTION_SHARE),
+            max_connections=config.descriptor_share(SERVER_DESCRIPTOR_SHARE),
         )
         self.forwarder = RequestForwarder(clock, config.settings, self.server_pool, self._handle_event)
         self.requests = self.forwarder.requests
-        self.counter = self._make_counter(config)
-        self._gossip = self._make_gossip(config)
-        # The watch is started by the start of the process, which reads the configured endpoint list before.
-        self.discovery = self._make_discovery(config)
-        self._ready_servers: set[bytes] = set()
+        self.counter = self._make_counter_client(config)
+        self._gossip_socket = self._make_gossip_socket(config)
+        # The process starts the watch later, after it has read the endpoint list of the configuration.
+        self.discovery = self._make_discovery_watch(config)
+        self._ready_server_ids: set[bytes] = set()
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
-    def _make_counter(self, config: Config) -> CounterClient | None:
+    def _make_counter_client(self, config: Config) -> CounterClient | None:
         if config.counter is None:
             return None
         options = CounterClientOptions(
@@ -98,12 +98,12 @@
         )
         return CounterClient(options, self._counter_replied)
 
-    def _make_gossip(self, config: Config) -> GossipSocket | None:
+    def _make_gossip_socket(self, config: Config) -> GossipSocket | None:
         if config.gossip is None:
             return None
         return GossipSocket(config.gossip, config.settings.limiter_index, self._gossip_received)
 
-    def _make_discovery(self, config: Config) -> DiscoveryWatch:
+    def _make_discovery_watch(self, config: Config) -> DiscoveryWatch:
         settings = config.settings
         options = DiscoveryWatchOptions(
             address=config.discovery,
@@ -113,24 +113,24 @@
                 settings.limiter_count, uses_local_agent=not settings.polls_discovery
             ),
         )
-        return DiscoveryWatch(options, self.apply_endpoint_list, self._discovery_failed)
+        return DiscoveryWatch(options, self.apply_endpoint_list, self._discovery_poll_failed)
 
     @property
-    def ready(self) -> bool:
-        """Whether a server is known that may be sent to."""
-        return bool(self._ready_servers)
+    def is_ready(self) -> bool:
+        """Whether at least one known server is ready for requests."""
+        return bool(self._ready_server_ids)
 
-    # Events from outside
+    # Events from discovery, the counter and gossip
 
     def apply_endpoint_list(
         self, servers: list[ListedEndpoint], is_full_list: bool, from_cache: bool = False
     ) -> None:
-        """Apply the endpoint list, or what changed of it.
+        """Apply a full endpoint list, or the changes to the present one.
 
         Args:
-            servers: The servers of the list, or those that changed.
-            is_full_list: Whether servers that are not named are removed.
-            from_cache: Whether the list is the one of the configuration, which may be old.
+            servers: All servers of the list, or those that changed.
+            is_full_list: Whether `servers` is the full list, so that servers that it omits are removed.
+            from_cache: Whether the list is the one in the configuration, which may be outdated.
         """
         for endpoint, address in servers:
             self._apply_endpoint(endpoint, address)
@@ -145,22 +145,22 @@
         else:
             self.server_pool.add_or_replace(endpoint.id, address, endpoint.started_at)
         if endpoint.state is EndpointState.READY:
-            self._ready_servers.add(endpoint.id)
+            self._ready_server_ids.add(endpoint.id)
         else:
-            self._ready_servers.discard(endpoint.id)
+            self._ready_server_ids.discard(endpoint.id)
             self.server_pool.drain(endpoint.id)
 
-    def _remove_unlisted(self, listed: set[EndpointId]) -> None:
-        self._ready_servers &= listed
-        for server_id in [server_id for server_id in self.server_pool.servers if server_id not in listed]:
+    def _remove_unlisted(self, listed_ids: set[EndpointId]) -> None:
+        self._ready_server_ids &= listed_ids
+        for server_id in [server_id for server_id in self.server_pool.servers if server_id not in listed_ids]:
             self.server_pool.remove(server_id)
 
-    def _discovery_failed(self, rejected: bool) -> None:
-        """Note that a poll brought no list; `rejected` says that discovery turned it away."""
-        self._handle_event(DiscoveryPollFailed(rejected))
+    def _discovery_poll_failed(self, is_rejected: bool) -> None:
+        """Report a poll that returned no list; `is_rejected` means that discovery rejected the poll."""
+        self._handle_event(DiscoveryPollFailed(is_rejected))
 
-    def _counter_replied(self, key: int, outcome: Outcome, total: float, latency_ms: float) -> None:
-        self._handle_event(CounterReply(key, outcome, total, latency_ms))
+    def _counter_replied(self, key: int, outcome: Outcome, total_units: float, latency_ms: float) -> None:
+        self._handle_event(CounterReply(key, outcome, total_units, latency_ms))
 
     def _gossip_received(self, sender: int, body: bytes) -> None:
         self._handle_event(GossipReceived(sender, body))
@@ -169,13 +169,13 @@
 
     def _handle_event(self, event: Event) -> None:
         for action in self.engine.handle(self._clock(), event):
-            self._carry_out(action)
+            self._execute_action(action)
 
-    def _carry_out(self, action: Action) -> None:
-        # The most frequent actions come first: each class is compared in turn.
+    def _execute_action(self, action: Action) -> None:
+        # The most frequent actions come first, since the classes are compared in this order.
         match action:
             case SendAttempt() | RejectRequest() | FailRequest() | CancelAttempt():
-                self.forwarder.carry_out(action)
+                self.forwarder.execute_action(action)
             case SetTimer():
                 self._set_timer(action)
             case IncrementCounter():
@@ -187,7 +187,7 @@
             case LogMessage():
                 log.info("policy_message text=%s", action.text)
             case SendHealthCheck():
-                pass  # The limiter's settings allow no health checks.
+                pass  # The limiter's settings do not allow health checks.
             case _:
                 assert_never(action)
 
@@ -200,10 +200,10 @@
         self._loop.call_later(action.delay / 1000, self.deliver_timer_when_due, due_ms, action.token)
 
     def deliver_timer_when_due(self, due_ms: float, token: int) -> None:
-        """Deliver TimerFired once the policy's clock has reached the timer's time.
+        """Deliver TimerFired as soon as the policy's clock has reached the time of the timer.
 
-        The loop's time is that of its turn's start, so its timers may come early by the length of a turn; the
-        policy ignores a timer that comes before its time, and would never set it again.
+        The event loop's time is that of the start of its iteration, so a timer may fire early by the length
+        of an iteration. The policy ignores a timer that fires early, and would never set it again.
         """
         early_ms = due_ms - self._clock()
         if early_ms > 0:
@@ -212,8 +212,8 @@
             self._handle_event(TimerFired(token))
 
     def _broadcast_gossip(self, action: BroadcastGossip) -> None:
-        if self._gossip is not None:
-            self._gossip.broadcast(action.body)
+        if self._gossip_socket is not None:
+            self._gossip_socket.broadcast(action.body)
 
     # The process
 
@@ -227,6 +227,6 @@
         self.discovery.close()
         if self.counter is not None:
             self.counter.close()
-        if self._gossip is not None:
-            self._gossip.close()
+        if self._gossip_socket is not None:
+            self._gossip_socket.close()
         self.server_pool.close()
--- a/limiter/transport/driver/request_forwarder.py
+++ b/limiter/transport/driver/request_forwarder.py
@@ -1,4 +1,4 @@
-"""Attempts on servers for clients' requests, and the end of each request."""
+"""Sends attempts of clients' requests to servers, and ends each request."""
 
 from __future__ import annotations
 
@@ -16,43 +16,43 @@
 from limiter.transport.servers.attempt import Attempt
 from limiter.transport.servers.server_pool import ServerPool
 
-# A timer that fires early by less than this counts as due. An attempt whose time-out is within it of the
-# request's deadline gets no timer of its own: the request's timer ends it.
+# A timer that fires early by no more than this is treated as due. An attempt whose timeout ends no more than
+# this before the request's deadline gets no timer of its own: the request's timer ends it.
 TIMER_TOLERANCE_MS = 0.5
 
 
-# The actions of the policy on a client's request.
+# Policy actions that concern a client's request.
 RequestAction = SendAttempt | RejectRequest | FailRequest | CancelAttempt
 
 
 class RequestForwarder:
-    """Carries out the policy's attempts and reports their ends; ends requests at their deadlines."""
+    """Executes the policy's request actions, reports ended attempts, and ends requests at their deadlines."""
 
     def __init__(
         self,
         clock: Clock,
         settings: Settings,
-        pool: ServerPool,
+        server_pool: ServerPool,
         handle_event: Callable[[Event], None],
     ) -> None:
-        """Make a forwarder without requests.
+        """Create a forwarder without requests.
 
         Args:
             clock: The clock of the events.
-            settings: Request classes, and the limit of attempts for a request.
-            pool: Carries the attempts.
-            handle_event: Gives an event to the policy, and carries out its actions.
+            settings: Provides the request classes and the maximum number of attempts per request.
+            server_pool: Sends the attempts.
+            handle_event: Passes an event to the policy and executes the resulting actions.
         """
         self._loop = asyncio.get_running_loop()
         self._clock = clock
         self._max_attempts = settings.max_attempts
         self._request_classes = settings.request_classes
-        self._pool = pool
+        self._server_pool = server_pool
         self.requests = RequestTable()
         self._handle_event = handle_event
 
-    def carry_out(self, action: RequestAction) -> None:
-        """Carry out an action of the policy; without effect on a request that is released."""
+    def execute_action(self, action: RequestAction) -> None:
+        """Execute an action of the policy; has no effect on a request that was released."""
         request = self.requests.by_number.get(action.request_id)
         if request is None:
             return
@@ -72,7 +72,7 @@
     # Requests
 
     def submit(self, request: ProxiedRequest) -> None:
-        """Take a new request and let the policy decide on it."""
+        """Add a new request, start its deadline timer and pass its event to the policy."""
         self.requests.add(request)
         self._start_deadline_timer(request, max(0.0, request.remaining_ms(self._clock())))
         self._handle_event(request.event)
@@ -80,49 +80,49 @@
     def client_disconnected(self, request: ProxiedRequest) -> None:
         """Finish a request whose client has disconnected.
 
-        Attempts that have begun to be written go on: they may run, and the policy is owed their outcomes.
+        Attempts whose write has begun continue: a server may run them, and the policy needs their outcomes.
         """
         is_submitted = self.requests.is_submitted(request)
-        was_finished = request.finished
+        was_finished = request.is_finished
         if was_finished and not is_submitted:
-            # It was noticed before and released: the client's id may be another request's by now.
+            # The request was released earlier, and another request may use its client request id by now.
             return
         request.finish()
         for attempt in request.attempts_in_flight:
             attempt.cancel_unsent(Outcome.CANCELLED)
-        # The policy has not seen a request that is not submitted, and has seen the end of a finished one.
+        # The policy does not know a request that was not submitted, and knows that a finished one has ended.
         if is_submitted and not was_finished:
             self._handle_event(ClientDisconnected(request.event.id))
         self.requests.release_if_done(request)
 
     def end_request(self, request: ProxiedRequest) -> None:
-        """End a request now: its attempts time out, and it gets its response.
+        """End a request now: time out its attempts, and respond to it.
 
-        The policy may respond as the attempts time out. If it does not, the response is made here.
+        The policy may respond as the attempts time out. If it does not, this method responds.
         """
         request.expire(self._clock())
         for attempt in request.attempts_in_flight[:]:
             attempt.abandon()
-        if not request.finished:
+        if not request.is_finished:
             self._respond_at_deadline(request)
             self._handle_event(ClientDisconnected(request.event.id))
         self.requests.release_if_done(request)
 
     def _respond_at_deadline(self, request: ProxiedRequest) -> None:
-        # 503 promises that a retry does no harm: nothing ran, or the request is idempotent.
+        # 503 tells the client that a retry is safe: no server ran the request, or the request is idempotent.
         idempotency = self._request_classes[request.event.request_class].idempotency
-        is_retry_harmless = not request.may_have_run or idempotency is Idempotency.IDEMPOTENT
-        if is_retry_harmless:
+        is_retry_safe = not request.may_have_run or idempotency is Idempotency.IDEMPOTENT
+        if is_retry_safe:
             self.requests.respond(request, 503, retry_after_ms=UPDATE_INTERVAL_MS)
         else:
             self.requests.respond(request, 504)
 
     def _start_deadline_timer(self, request: ProxiedRequest, delay_ms: float) -> None:
         timer = self._loop.call_later(delay_ms / 1000, self._deadline_reached, request)
-        request.deadline_timer_started(timer)
+        request.set_deadline_timer(timer)
 
     def _deadline_reached(self, request: ProxiedRequest) -> None:
-        request.deadline_timer_fired()
+        request.clear_deadline_timer()
         remaining_ms = request.remaining_ms(self._clock())
         if remaining_ms > TIMER_TOLERANCE_MS:
             self._start_deadline_timer(request, remaining_ms)
@@ -132,7 +132,7 @@
     # Attempts
 
     def _send_attempt(self, request: ProxiedRequest, action: SendAttempt) -> None:
-        """Send the request to a server."""
+        """Start an attempt: send the request to a server."""
         remaining_ms = request.remaining_ms(self._clock())
         timeout_ms = min(action.timeout, remaining_ms) if action.timeout else remaining_ms
         data = b"%bX-Deadline-Ms: %d\r\n\r\n%b" % (request.head, max(1, int(timeout_ms)), request.body)
@@ -141,15 +141,15 @@
             action.endpoint_id,
             data,
             partial(self._attempt_ended, request),
-            request.finish_if_hung_up,
+            request.finish_if_client_disconnected,
         )
-        request.attempt_started(attempt)
-        if request.finish_if_hung_up() or timeout_ms <= 0 or attempt.number >= self._max_attempts:
+        request.record_attempt_started(attempt)
+        if request.finish_if_client_disconnected() or timeout_ms <= 0 or attempt.number >= self._max_attempts:
             self._loop.call_soon(attempt.end, Outcome.REQUEST_ENDED)
             return
-        # An attempt that may last until its request's deadline is ended by the request's timer.
+        # An attempt that may last until the deadline of its request is ended by the request's timer.
         has_own_timeout = timeout_ms < remaining_ms - TIMER_TOLERANCE_MS
-        self._pool.send(attempt, timeout_ms / 1000 if has_own_timeout else None)
+        self._server_pool.send(attempt, timeout_ms / 1000 if has_own_timeout else None)
 
     def _cancel_attempt(self, request: ProxiedRequest, number: int) -> None:
         """Stop waiting for an attempt."""
@@ -160,7 +160,7 @@
     def _attempt_ended(
         self, request: ProxiedRequest, attempt: Attempt, outcome: Outcome, body: bytes, content_type: bytes
     ) -> None:
-        request.attempt_ended(attempt, outcome)
+        request.record_attempt_ended(attempt, outcome)
         if outcome is Outcome.OK:
             self.requests.respond(request, 200, body, content_type)
         self._handle_event(
@@ -170,7 +170,7 @@
                 attempt.server_id,
                 outcome,
                 latency=attempt.elapsed_ms(),
-                request_finished=request.finished,
+                request_finished=request.is_finished,
                 stale_connection=attempt.is_connection_stale,
             )
         )
