--- a/limiter/transport/clients/client_connection.py
+++ b/limiter/transport/clients/client_connection.py
@@ -147,7 +147,7 @@
         error = parser.feed(data)
         if error is not None:
             self.fail(error)
-        elif parser.is_partial:
+        elif parser.has_partial_request:
             self._observer.request_started(self)
 
     def pause_writing(self) -> None:
--- a/limiter/transport/clients/client_response.py
+++ b/limiter/transport/clients/client_response.py
@@ -1,4 +1,4 @@
-"""Responses to clients: the HTTP/1.1 text, and those that the limiter makes without asking a server."""
+"""Encodes HTTP/1.1 responses to clients, and defines responses that the limiter makes without a server."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalResponse:
-    """A response in plain text that needs no server."""
+    """A plain-text response that the limiter makes without a server."""
 
     status: int
     text: bytes
-    retry_after_ms: float = 0.0  # 0 omits the Retry-After header
+    retry_after_ms: float = 0.0  # 0 omits the Retry-After header.
 
 
 def encode_response(
     status: int, body: bytes, content_type: bytes, retry_after_ms: float, *, close: bool
 ) -> bytes:
-    """Return an HTTP/1.1 response.
+    """Return the bytes of an HTTP/1.1 response.
 
     Args:
-        status: A key of REASON_PHRASES.
+        status: Status code; a key of REASON_PHRASES.
         body: The body, which may be empty.
         content_type: The media type; empty omits the header.
         retry_after_ms: Milliseconds for the Retry-After header; 0 omits it.
--- a/limiter/transport/clients/request_handler.py
+++ b/limiter/transport/clients/request_handler.py
@@ -82,7 +82,11 @@
 
 def _encode_head(request: ParsedRequest, body_bytes: int) -> bytes:
     """Return request line and headers for the server, without the deadline and the blank line."""
-    head = b"%b %b HTTP/1.1\r\n%b" % (request.method, request.target, b"".join(request.forwarded_lines))
+    head = b"%b %b HTTP/1.1\r\n%b" % (
+        request.method,
+        request.target,
+        b"".join(request.forwarded_header_lines),
+    )
     if body_bytes or request.method == b"POST":
         head += b"Content-Length: %d\r\n" % body_bytes
     return head
