--- a/limiter/transport/clients/__init__.py
+++ b/limiter/transport/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Connections of clients: accepting, parsing requests, writing responses, graceful shutdown."""
+"""Client connections: accepts them, parses requests, writes responses and shuts down gracefully."""
--- a/limiter/transport/clients/connection_registry.py
+++ b/limiter/transport/clients/connection_registry.py
@@ -1,4 +1,4 @@
-"""The client connections by state: which are closed, and when, so that they stay within their number."""
+"""Tracks client connections by state, and closes them on timeouts or to stay within the limit."""
 
 from __future__ import annotations
 
@@ -7,152 +7,155 @@
 from limiter.transport.clients.client_connection import OVERLOAD_RETRY_AFTER_MS, ClientConnection
 from limiter.transport.clients.client_response import LocalResponse
 
-# A request must be complete so long after its connection was opened, or after its first byte on a connection
-# that carried others before.
+# Maximum time until a request is received completely, counted from the opening of its connection, or from its
+# first byte if the connection carried other requests before.
 READ_TIMEOUT_SECONDS = 2.0
-# A connection without a request is closed after this time.
+# A connection is closed after it has been without a request for this time.
 IDLE_TIMEOUT_SECONDS = 20.0
-# A connection with the response to bad input is kept for so long, so that the client can read the response.
-LINGER_SECONDS = 0.75
-# While a shutdown closes idle connections, the first request of a connection that was opened less than this
-# ago is taken to be on its way.
-FIRST_REQUEST_SECONDS = 0.25
+# After the response to invalid input, a connection stays open this long, so that the client can read it.
+LINGER_TIMEOUT_SECONDS = 0.75
+# While a shutdown closes idle connections, a connection that was opened less than this ago stays open, since
+# its first request is assumed to be on its way.
+FIRST_REQUEST_GRACE_SECONDS = 0.25
 
-REQUEST_TIMEOUT = LocalResponse(408, b"request not whole in time\n")
+REQUEST_TIMEOUT = LocalResponse(408, b"request not received completely in time\n")
 TOO_MANY_CONNECTIONS = LocalResponse(503, b"one connection too many\n", OVERLOAD_RETRY_AFTER_MS)
 
-# Connections in one state, with the time at which they entered it, in monotonic seconds; the earliest first.
-EntryTimes = dict[ClientConnection, float]
+# Connections in one state and the monotonic time in seconds at which each entered it, in order of entry.
+StateEntryTimes = dict[ClientConnection, float]
 
 
 class ConnectionRegistry:
-    """All client connections; each of them is in one state at most.
+    """Holds all client connections; each of them is in at most one state.
 
-    A connection with a request in hand is in none, because the request has its own deadline.
+    A connection that only waits for responses is in no state, because its requests have their own deadlines.
 
     Attributes:
-        connections: All of them, whatever their state.
-        new: Nothing has been received on them yet.
-        reading: Part of a request has been received, whatever else is in hand. Their times are not quite in
-            order: that of a new connection goes on from its opening.
-        idle: Between requests.
-        lingering: The response to bad input was written; they are closed once the client could read it.
+        connections: All connections, in any state.
+        new: Connections on which nothing has been received yet.
+        reading: Connections on which a part of a request has been received, even if other requests are open.
+            Their times are not strictly in order: a new connection keeps the time at which it was opened.
+        idle: Connections between requests.
+        lingering: Connections whose response to invalid input was written. They are closed once the client
+            has had time to read it.
     """
 
     def __init__(self, max_connections: int) -> None:
-        """Keep up to `max_connections`; those beyond are overflow."""
+        """Set the limit to `max_connections`; connections beyond it are overflow connections."""
         self._max_connections = max_connections
         self.connections: set[ClientConnection] = set()
-        self.new: EntryTimes = {}
-        self.reading: EntryTimes = {}
-        self.idle: EntryTimes = {}
-        self.lingering: EntryTimes = {}
+        self.new: StateEntryTimes = {}
+        self.reading: StateEntryTimes = {}
+        self.idle: StateEntryTimes = {}
+        self.lingering: StateEntryTimes = {}
 
     # Notifications of connections
 
     def connection_opened(self, connection: ClientConnection) -> bool:
-        """Add a connection; return False if it is overflow, because no other can be shed for it.
+        """Add a connection; return False if it is an overflow connection: no other can be shed for it.
 
-        Its request may be under way, so an overflow connection is not closed but gets a response. Once idle,
-        it is the next to be shed.
+        The request of an overflow connection may be on its way, so the connection is not closed but gets a
+        response. Once it is idle, it is the next to be shed.
         """
         self.connections.add(connection)
-        has_room = len(self.connections) <= self._max_connections or self.shed()
+        has_room = len(self.connections) <= self._max_connections or self.shed_connection()
         self.new[connection] = time.monotonic()
         return has_room
 
     def request_started(self, connection: ClientConnection) -> None:
-        """Note that part of a request has been received."""
+        """Record that a part of a request has been received."""
         if connection in self.reading:
             return
         opened_at = self.new.get(connection)
-        self._leave_state(connection)
+        self._remove_from_states(connection)
         self.reading[connection] = time.monotonic() if opened_at is None else opened_at
 
     def request_completed(self, connection: ClientConnection) -> None:
-        """Note that a request has been read to its end."""
-        self._leave_state(connection)
+        """Record that a request has been received completely."""
+        self._remove_from_states(connection)
 
     def connection_idle(self, connection: ClientConnection) -> None:
-        """Note that no request is in hand; the next one may be partly read already."""
+        """Record that no request is open; a part of the next one may have been received already."""
         if connection not in self.reading:
-            self._leave_state(connection)
+            self._remove_from_states(connection)
             self.idle[connection] = time.monotonic()
 
     def connection_failed(self, connection: ClientConnection) -> None:
-        """Keep a failed connection while its client reads the response."""
-        self._leave_state(connection)
+        """Keep a failed connection open while its client reads the response."""
+        self._remove_from_states(connection)
         self.lingering[connection] = time.monotonic()
 
     def connection_closed(self, connection: ClientConnection) -> None:
         """Remove a connection."""
         self.connections.discard(connection)
-        self._leave_state(connection)
+        self._remove_from_states(connection)
 
-    def _leave_state(self, connection: ClientConnection) -> None:
+    def _remove_from_states(self, connection: ClientConnection) -> None:
         for state in (self.idle, self.new, self.reading, self.lingering):
             state.pop(connection, None)
 
     # Closing
 
-    def shed(self) -> bool:
-        """Close the connection that does least for its descriptor; return False if all are at work."""
-        # Those without any input go before idle ones, or many of them would displace working clients.
+    def shed_connection(self) -> bool:
+        """Close or fail the connection that is least in use; return False if none can be shed."""
+        # New connections without input go before idle ones, or many of them would displace active clients.
         longest_lingering = next(iter(self.lingering), None)
         if longest_lingering is not None:
-            self._close(longest_lingering)
+            self._close_connection(longest_lingering)
             return True
         for state in (self.new, self.idle):
             for connection in state:
                 if not connection.has_unread_input:
-                    self._close(connection)
+                    self._close_connection(connection)
                     return True
-        return self._shed_reading()
+        return self._fail_longest_reading()
 
-    def _shed_reading(self) -> bool:
-        """Fail the connection that has been reading its request the longest.
+    def _fail_longest_reading(self) -> bool:
+        """Fail the connection that has been receiving its request for the longest time.
 
-        It is closed when the next one is shed, or after its client has read the response.
+        It is closed when the next connection is shed, or once its client has had time to read the response.
         """
         for connection in self.reading:
-            is_at_work = connection.has_failed or connection.has_unanswered_requests
-            if not is_at_work and not connection.has_unread_input:
+            is_in_use = connection.has_failed or connection.has_unanswered_requests
+            if not is_in_use and not connection.has_unread_input:
                 connection.fail(TOO_MANY_CONNECTIONS)
                 return True
         return False
 
     def close_expired_connections(self) -> None:
-        """Close the connections that have been in their state for too long."""
+        """Close the connections that have been in their state longer than its timeout."""
         now = time.monotonic()
-        self._close_without_input(self.new, now - READ_TIMEOUT_SECONDS)
-        self._close_without_input(self.idle, now - IDLE_TIMEOUT_SECONDS)
-        for connection in _entered_before(self.reading, now - READ_TIMEOUT_SECONDS):
+        self._close_connections_without_input(self.new, now - READ_TIMEOUT_SECONDS)
+        self._close_connections_without_input(self.idle, now - IDLE_TIMEOUT_SECONDS)
+        for connection in _connections_entered_before(self.reading, now - READ_TIMEOUT_SECONDS):
             connection.fail(REQUEST_TIMEOUT)
-        for connection in _entered_before(self.lingering, now - LINGER_SECONDS):
+        for connection in _connections_entered_before(self.lingering, now - LINGER_TIMEOUT_SECONDS):
             self.connection_closed(connection)
             connection.abort()
 
-    def close_idle(self) -> None:
-        """Close all connections that are between requests, and new ones whose request does not come."""
+    def close_idle_connections(self) -> None:
+        """Close all idle connections, and new ones whose first request did not arrive in time."""
         now = time.monotonic()
-        self._close_without_input(self.new, now - FIRST_REQUEST_SECONDS)
-        self._close_without_input(self.idle, now)
+        self._close_connections_without_input(self.new, now - FIRST_REQUEST_GRACE_SECONDS)
+        self._close_connections_without_input(self.idle, now)
 
     def abort_all(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
         for connection in list(self.connections):
             connection.abort()
 
-    def _close_without_input(self, state: EntryTimes, limit: float) -> None:
-        """Close what entered the state before `limit`, unless a request waits unread in the kernel."""
-        for connection in _entered_before(state, limit):
+    def _close_connections_without_input(self, state: StateEntryTimes, entered_before_seconds: float) -> None:
+        """Close connections that entered the state before a time, unless the kernel holds unread input."""
+        for connection in _connections_entered_before(state, entered_before_seconds):
             if not connection.has_unread_input:
-                self._close(connection)
+                self._close_connection(connection)
 
-    def _close(self, connection: ClientConnection) -> None:
+    def _close_connection(self, connection: ClientConnection) -> None:
         self.connection_closed(connection)
         connection.close()
 
 
-def _entered_before(state: EntryTimes, limit: float) -> list[ClientConnection]:
-    return [connection for connection, entered_at in state.items() if entered_at < limit]
+def _connections_entered_before(
+    state: StateEntryTimes, entered_before_seconds: float
+) -> list[ClientConnection]:
+    return [connection for connection, entered_at in state.items() if entered_at < entered_before_seconds]
--- a/limiter/transport/clients/listener.py
+++ b/limiter/transport/clients/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: accepts client connections as far as there are descriptors for them."""
+"""The listening socket: accepts client connections within the limit on file descriptors."""
 
 from __future__ import annotations
 
@@ -13,76 +13,80 @@
 from limiter.transport.clock import Clock
 from limiter.transport.driver.proxy import Proxy
 
-# Share of the file descriptors that is for clients' connections.
-CONNECTION_SHARE = 0.55
-# Share of the file descriptors that is for overflow connections, which are held while they are rejected, and
-# the smallest number of them.
-OVERFLOW_SHARE = 0.05
+# Fraction of the file descriptors that is for client connections.
+CLIENT_DESCRIPTOR_SHARE = 0.55
+# Fraction of the file descriptors that is for overflow connections, which stay open until their requests are
+# rejected, and the minimum limit on their number.
+OVERFLOW_DESCRIPTOR_SHARE = 0.05
 MIN_OVERFLOW_CONNECTIONS = 8
-# Connections that the kernel holds until they are accepted.
-BACKLOG = 1024
-# Connections that are accepted in one turn of the loop. Requests in hand get their turn after that.
-ACCEPT_BATCH = 64
-# Nothing is accepted for so long after descriptors have run out.
+# Maximum number of connections that the kernel holds until they are accepted.
+LISTEN_BACKLOG_SIZE = 1024
+# Maximum number of connections that are accepted in one iteration of the event loop. Open requests are
+# handled before the next batch.
+ACCEPT_BATCH_SIZE = 64
+# Time for which no connection is accepted after the file descriptors have run out.
 ACCEPT_PAUSE_SECONDS = 0.05
-# Interval at which connections that have taken too long are closed.
+# Interval at which connections whose timeout has expired are closed.
 SWEEP_INTERVAL_SECONDS = 0.25
 
 
 class Listener:
-    """Accepts clients' connections and serves them until it is aborted."""
+    """Accepts client connections and serves them until `abort` is called."""
 
     def __init__(self, config: Config, proxy: Proxy, clock: Clock) -> None:
-        """Listen at once, in the running event loop; raise OSError if the address cannot be bound."""
+        """Start to listen in the running event loop; raise OSError if the address cannot be bound."""
         self._loop = asyncio.get_running_loop()
-        max_connections = config.descriptor_share(CONNECTION_SHARE)
-        max_overflow = max(MIN_OVERFLOW_CONNECTIONS, config.descriptor_share(OVERFLOW_SHARE))
-        self._max_accepted = max_connections + max_overflow
+        max_connections = config.descriptor_share(CLIENT_DESCRIPTOR_SHARE)
+        max_overflow_connections = max(
+            MIN_OVERFLOW_CONNECTIONS, config.descriptor_share(OVERFLOW_DESCRIPTOR_SHARE)
+        )
+        self._max_accepted_connections = max_connections + max_overflow_connections
         self.registry = ConnectionRegistry(max_connections)
         self._handler = ProxyRequestHandler(config, proxy, clock)
-        self._connecting: set[asyncio.Task[None]] = set()
-        self.socket = _listen(config.listen)
-        self._loop.add_reader(self.socket, self._accept)
+        self._setup_tasks: set[asyncio.Task[None]] = set()
+        self.socket = _open_listening_socket(config.listen)
+        self._loop.add_reader(self.socket, self._accept_batch)
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
-    # Accepting
+    # Accepting connections
 
-    def _accept(self) -> None:
-        for _ in range(ACCEPT_BATCH):
-            if len(self.registry.connections) + len(self._connecting) >= self._max_accepted:
-                self._shed_or_pause()
+    def _accept_batch(self) -> None:
+        for _ in range(ACCEPT_BATCH_SIZE):
+            if len(self.registry.connections) + len(self._setup_tasks) >= self._max_accepted_connections:
+                self._shed_or_pause_accepting()
                 return
             if not self._accept_one():
                 return
 
-    def _shed_or_pause(self) -> None:
-        """Make room for a connection: the descriptors left are for servers, discovery and the counter."""
-        if not self._connecting and not self.registry.shed():
+    def _shed_or_pause_accepting(self) -> None:
+        """Close a connection or pause: the other descriptors are for servers, discovery and the counter."""
+        if not self._setup_tasks and not self.registry.shed_connection():
             self._pause_accepting()
 
     def _accept_one(self) -> bool:
-        """Accept a connection; return whether there may be more to accept."""
+        """Accept one connection; return whether the backlog may hold more."""
         try:
-            accepted, _ = self.socket.accept()
+            accepted_socket, _ = self.socket.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False
         except OSError:
-            # Descriptors may have run out. uvloop's own server would close its socket for good then, and a
-            # reader left in place would spin on it. The connection waits in the backlog for a moment.
-            self.registry.shed()
+            # The file descriptors may have run out. In that case, uvloop's own server would close its socket
+            # permanently, and a reader that stays registered would be called in a busy loop. So accepting is
+            # paused, and the connection waits in the backlog.
+            self.registry.shed_connection()
             self._pause_accepting()
             return False
-        accepted.setblocking(False)
-        task = self._loop.create_task(self._connect(accepted))
-        self._connecting.add(task)
-        task.add_done_callback(self._connecting.discard)
+        accepted_socket.setblocking(False)
+        task = self._loop.create_task(self._set_up_connection(accepted_socket))
+        self._setup_tasks.add(task)
+        task.add_done_callback(self._setup_tasks.discard)
         return True
 
-    async def _connect(self, accepted: socket.socket) -> None:
+    async def _set_up_connection(self, accepted_socket: socket.socket) -> None:
         try:
-            await self._loop.connect_accepted_socket(self._make_connection, accepted)
+            await self._loop.connect_accepted_socket(self._make_connection, accepted_socket)
         except OSError:
-            accepted.close()
+            accepted_socket.close()
 
     def _make_connection(self) -> ClientConnection:
         return ClientConnection(self.registry, self._handler)
@@ -93,7 +97,7 @@
 
     def _resume_accepting(self) -> None:
         if self.socket.fileno() >= 0:
-            self._loop.add_reader(self.socket, self._accept)
+            self._loop.add_reader(self.socket, self._accept_batch)
 
     def _sweep(self) -> None:
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
@@ -102,42 +106,42 @@
     # Graceful shutdown, in this order
 
     def start_draining(self) -> None:
-        """From now on close each connection with its next response, and fail health checks."""
+        """From now on, close each connection after its next response, and fail health checks."""
         self._handler.start_draining()
 
     def stop_accepting(self) -> None:
-        """Take what is in the backlog, which the kernel would reset, and no more."""
+        """Accept the connections in the backlog, which the kernel would reset, and stop listening."""
         self._loop.remove_reader(self.socket)
-        for _ in range(BACKLOG):
+        for _ in range(LISTEN_BACKLOG_SIZE):
             if not self._accept_one():
                 break
-        # `_accept_one` puts the reader back after a pause, if descriptors have run out.
+        # If the descriptors have run out, `_accept_one` registers the reader again after a pause.
         self._loop.remove_reader(self.socket)
         self.socket.close()
 
     def close_idle_connections(self) -> bool:
-        """Close all connections that are between requests; return whether any connection is left."""
-        self.registry.close_idle()
-        return bool(self.registry.connections or self._connecting)
+        """Close all connections that are between requests; return whether any connection is still open."""
+        self.registry.close_idle_connections()
+        return bool(self.registry.connections or self._setup_tasks)
 
     def reject_new_requests(self) -> None:
-        """From now on reject the requests that are read."""
-        self._handler.stop()
+        """From now on, reject requests instead of submitting them."""
+        self._handler.reject_new_requests()
 
     def has_connections(self) -> bool:
-        """Whether a client is connected."""
+        """Return whether a client is connected."""
         return bool(self.registry.connections)
 
     def abort(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
         self._sweep_timer.cancel()
         self.registry.abort_all()
 
 
-def _listen(address: Address) -> socket.socket:
-    listening = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
-    listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    listening.setblocking(False)
-    listening.bind(address)
-    listening.listen(BACKLOG)
-    return listening
+def _open_listening_socket(address: Address) -> socket.socket:
+    listening_socket = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
+    listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listening_socket.setblocking(False)
+    listening_socket.bind(address)
+    listening_socket.listen(LISTEN_BACKLOG_SIZE)
+    return listening_socket
--- a/limiter/transport/clients/request_handler.py
+++ b/limiter/transport/clients/request_handler.py
@@ -1,4 +1,4 @@
-"""What becomes of a request that a client connection has read: a local response, or a proxied request."""
+"""Handles a request that a client connection has read: answers it locally or submits it to the proxy."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 HEALTH_PATH = b"/_health"
 READY = LocalResponse(200, b"ready\n")
 NOT_READY = LocalResponse(503, b"not ready\n")
-DUPLICATE_ID = LocalResponse(409, b"X-Request-Id: that of a request still open\n")
+DUPLICATE_REQUEST_ID = LocalResponse(409, b"X-Request-Id: already used by another open request\n")
 
 
 class ProxyRequestHandler:
     """Answers health checks, validates other requests and submits them to the proxy."""
 
     def __init__(self, config: Config, proxy: Proxy, clock: Clock) -> None:
-        """Make a handler that is not draining.
+        """Create a handler that is not draining.
 
         Args:
-            config: Classes, plans and bounds that requests must keep to.
-            proxy: Gets the requests.
+            config: Provides the request classes, plans and limits that requests are checked against.
+            proxy: Receives the valid requests.
             clock: The clock of the events.
         """
         self._proxy = proxy
@@ -34,28 +34,28 @@
         self._clock = clock
         self._validator = RequestValidator(config)
         self._is_draining = False
-        self._is_stopped = False
+        self._is_rejecting_requests = False
 
     @property
     def is_draining(self) -> bool:
-        """Whether each connection is closed with its next response."""
+        """Whether each connection is closed after its next response."""
         return self._is_draining
 
     @property
-    def is_stopped(self) -> bool:
-        """Whether no request is submitted any more."""
-        return self._is_stopped
+    def is_rejecting_requests(self) -> bool:
+        """Whether requests are rejected instead of submitted."""
+        return self._is_rejecting_requests
 
     def start_draining(self) -> None:
-        """From now on close each connection with its next response, and fail health checks."""
+        """From now on, close each connection after its next response, and fail health checks."""
         self._is_draining = True
 
-    def stop(self) -> None:
-        """From now on reject requests in place of submitting them."""
-        self._is_stopped = True
+    def reject_new_requests(self) -> None:
+        """From now on, reject requests instead of submitting them."""
+        self._is_rejecting_requests = True
 
     def prepare(self, connection: ClientConnection, request: ParsedRequest) -> QueuedRequest:
-        """Return the request to submit when its turn comes, or its response if no server is needed."""
+        """Return the request to submit when its turn comes, or its response if it needs no server."""
         path = request.target.partition(b"?")[0]
         if path == HEALTH_PATH:
             return READY if self._proxy.is_ready and not self._is_draining else NOT_READY
@@ -65,23 +65,23 @@
             return LocalResponse(400, b"%b\n" % str(error).encode())
         client_request_id = request.headers[b"x-request-id"]
         if not self._requests.claim_client_request_id(client_request_id):
-            # If it were forwarded, it would run a second time, or as another client's request.
-            return DUPLICATE_ID
+            # Forwarding it could run the same request twice, or run it as another client's request.
+            return DUPLICATE_REQUEST_ID
         body = b"".join(request.body_parts)
         head = _encode_head(request, len(body))
         return ProxiedRequest(connection, event, client_request_id, head, body)
 
     def submit(self, request: ProxiedRequest) -> None:
-        """Give a prepared request to the proxy."""
+        """Submit a prepared request to the proxy."""
         self._forwarder.submit(request)
 
     def client_disconnected(self, request: ProxiedRequest) -> None:
-        """Finish a prepared request whose client no longer gets its response."""
+        """Finish a prepared request whose client will not receive its response."""
         self._forwarder.client_disconnected(request)
 
 
 def _encode_head(request: ParsedRequest, body_bytes: int) -> bytes:
-    """Return request line and headers for the server, without the deadline and the blank line."""
+    """Return request line and headers for the server, without the deadline header and the blank line."""
     head = b"%b %b HTTP/1.1\r\n%b" % (
         request.method,
         request.target,
