--- a/limiter/policy/admission.py
+++ b/limiter/policy/admission.py
@@ -11,7 +11,7 @@
 
 from limiter.model.actions import RejectRequest
 from limiter.model.events import ClientRequest, CounterReply, Outcome
-from limiter.policy.admission_rules import AdmissionRules, Verdict
+from limiter.policy.admission_rules import AdmissionDecision, AdmissionRules
 from limiter.policy.attempt_dispatch import AttemptDispatcher
 from limiter.policy.context import EngineContext
 from limiter.policy.customer import Customer
@@ -26,10 +26,10 @@
 
 # Smallest fraction of its burst that a bucket rebuilt from gossip must hold for a request to be admitted
 # without a counter call.
-MIN_BURST_SHARE_WITHOUT_CALL = 0.7
+MIN_BURST_FRACTION_WITHOUT_COUNTER_CALL = 0.7
 # A request is reported ahead, with the call that it waits for, if at least this share of the customer's
 # latest requests was admitted.
-MIN_ADMIT_SHARE_TO_REPORT_AHEAD = 0.5
+MIN_ADMITTED_FRACTION_TO_RESERVE = 0.5
 
 
 @dataclass(eq=False)
@@ -41,10 +41,10 @@
         customers: The customers with recent requests.
         usage_sampler: Makes calls to the counter and takes in their replies.
         usage_gossip: What other limiters forwarded.
-        rules: Judge a request.
+        admission_rules: Judge a request.
         attempt_dispatcher: Sends the attempts of admitted requests.
         held_requests: Requests that wait for the counter.
-        reporter: Reports the use of customers to the counter.
+        usage_reporter: Reports the use of customers to the counter.
         housekeeping: Customers to look at again.
     """
 
@@ -52,10 +52,10 @@
     customers: CustomerRegistry
     usage_sampler: UsageSampler
     usage_gossip: UsageGossip
-    rules: AdmissionRules
+    admission_rules: AdmissionRules
     attempt_dispatcher: AttemptDispatcher
     held_requests: HeldRequests
-    reporter: UsageReporter
+    usage_reporter: UsageReporter
     housekeeping: CustomerHousekeeping
 
     def handle_request(self, now: float, request: ClientRequest) -> None:
@@ -64,8 +64,8 @@
             return
         customer = self.customers.get_or_create(now, request)
         self.customers.advance(customer, now)
-        self.attempt_dispatcher.retry_budget.earn()
-        open_request = self._open(now, request, customer)
+        self.attempt_dispatcher.retry_budget.record_request()
+        open_request = self._create_open_request(now, request, customer)
         if not customer.is_widely_shared:
             self._decide(now, open_request, has_sample=True)
         elif self.usage_gossip.is_fresh(now):
@@ -80,14 +80,14 @@
         has_class = request.request_class < len(settings.request_classes)
         return has_plan and has_class and request.id not in self.attempt_dispatcher.open_requests
 
-    def _open(self, now: float, request: ClientRequest, customer: Customer) -> OpenRequest:
+    def _create_open_request(self, now: float, request: ClientRequest, customer: Customer) -> OpenRequest:
         request_class = self.context.settings.request_classes[request.request_class]
-        useful_until = request.expires_at
+        response_deadline = request.expires_at
         if request_class.late_weight_fraction <= 0:
             # A late response is worth nothing: the request ends with its objective and leaves its capacity to
             # others.
-            useful_until = min(useful_until, now + request_class.latency_objective)
-        return OpenRequest(request, request_class, customer, useful_until)
+            response_deadline = min(response_deadline, now + request_class.latency_objective)
+        return OpenRequest(request, request_class, customer, response_deadline)
 
     def _decide_by_gossip(self, now: float, request: OpenRequest) -> None:
         """Judge by the bucket rebuilt from gossip; near its end the total of a slot decides."""
@@ -97,15 +97,15 @@
         quota = self.usage_gossip.estimate_quota(now, request.request)
         usage.set_tokens(quota.tokens)
         usage.set_probability(quota.probability)
-        if usage.tokens < max(units, MIN_BURST_SHARE_WITHOUT_CALL * customer.plan.burst):
-            request.admission.mark_probability_drawn()
+        if usage.tokens < max(units, MIN_BURST_FRACTION_WITHOUT_COUNTER_CALL * customer.plan.burst):
+            request.admission.mark_random_draw_done()
             if usage.tokens < units or self.context.random.random() >= usage.probability:
                 usage.empty_bucket()
-            elif self._hold_for_slot(now, request):
+            elif self._hold_for_slot_total(now, request):
                 return
         self._decide(now, request, has_sample=True)
 
-    def _hold_for_slot(self, now: float, request: OpenRequest) -> bool:
+    def _hold_for_slot_total(self, now: float, request: OpenRequest) -> bool:
         """Hold a request for the slot's total: it says whether the request fits, and counts all that asked.
 
         Returns:
@@ -116,7 +116,7 @@
         admission.set_report_weight(0.0)
         if not report.is_call_in_flight:
             report.set_unreported(request.request.units)
-            admission.reserve(request.request.units)
+            admission.reserve_units(request.request.units)
         is_held = self.held_requests.hold(now, request)
         admission.release_reservation()
         if not is_held:
@@ -132,9 +132,9 @@
         admission = request.admission
         weight = 1 / self.usage_sampler.call_probability
         admission.set_report_weight(weight)
-        is_likely_admitted = customer.admitted_fraction >= MIN_ADMIT_SHARE_TO_REPORT_AHEAD
+        is_likely_admitted = customer.admitted_fraction >= MIN_ADMITTED_FRACTION_TO_RESERVE
         if is_likely_admitted and not customer.report.is_call_in_flight:
-            admission.reserve(request.request.units * weight)
+            admission.reserve_units(request.request.units * weight)
         customer.report.add_unreported(admission.reserved_units)
         if self.held_requests.hold(now, request):
             return
@@ -147,30 +147,30 @@
         """Take in a reply and decide on the requests that were held for it."""
         customer = self.usage_sampler.handle_reply(now, reply)
         if customer is not None:
-            self._release(now, customer, has_sample=reply.outcome is Outcome.OK)
+            self._decide_held_requests(now, customer, has_sample=reply.outcome is Outcome.OK)
 
     def handle_housekeeping(self, now: float) -> None:
         """Release requests whose reply never came, and report use that has waited for long."""
         for customer in self.housekeeping.take_due(now):
-            if self.held_requests.is_overdue(now, customer):
-                self._release(now, customer, has_sample=False)
-            self.reporter.report_overdue_usage(now, customer)
-            if self.held_requests.has(customer):
+            if self.held_requests.is_call_overdue(now, customer):
+                self._decide_held_requests(now, customer, has_sample=False)
+            self.usage_reporter.report_overdue_usage(now, customer)
+            if self.held_requests.has_requests(customer):
                 self.held_requests.schedule_recheck(now, customer)
             else:
-                self.reporter.schedule_recheck(now, customer)
+                self.usage_reporter.schedule_recheck(now, customer)
 
-    def _release(self, now: float, customer: Customer, has_sample: bool) -> None:
+    def _decide_held_requests(self, now: float, customer: Customer, has_sample: bool) -> None:
         """Decide on the requests that were held for a call of the customer."""
-        requests = self.held_requests.take(customer)
-        if requests and not has_sample and requests[0].admission.probability_drawn:
-            has_sample = self._adopt_gossiped_tokens(now, requests[0])
+        requests = self.held_requests.take_requests(customer)
+        if requests and not has_sample and requests[0].admission.is_random_draw_done:
+            has_sample = self._set_tokens_from_gossip(now, requests[0])
         for request in requests:
             has_client = request.request.id in self.attempt_dispatcher.open_requests
             if has_client:
                 self._decide(now, request, has_sample=has_sample)
 
-    def _adopt_gossiped_tokens(self, now: float, request: OpenRequest) -> bool:
+    def _set_tokens_from_gossip(self, now: float, request: OpenRequest) -> bool:
         """Let gossip stand for a slot's total that did not come; whether gossip is fresh."""
         is_fresh = self.usage_gossip.is_fresh(now)
         if is_fresh:
@@ -185,21 +185,23 @@
             request: The request.
             has_sample: Whether a sample of its customer's use stands behind the token bucket.
         """
-        verdict = self.rules.judge(now, request, has_sample=has_sample)
-        if verdict is Verdict.ADMITTED and not self.attempt_dispatcher.send(now, request):
-            verdict = Verdict.NO_SERVER
-        if verdict is Verdict.ADMITTED:
-            self._record_forwarded(now, request)
+        decision = self.admission_rules.evaluate(now, request, has_sample=has_sample)
+        if decision is AdmissionDecision.ADMITTED and not self.attempt_dispatcher.send_attempt(now, request):
+            decision = AdmissionDecision.NO_SERVER
+        if decision is AdmissionDecision.ADMITTED:
+            self._record_forwarded_units(now, request)
         else:
             self._reject(request)
-        self.reporter.report_after_decision(now, request, is_admitted=verdict is Verdict.ADMITTED)
+        self.usage_reporter.report_after_decision(
+            now, request, is_admitted=decision is AdmissionDecision.ADMITTED
+        )
 
-    def _record_forwarded(self, now: float, open_request: OpenRequest) -> None:
+    def _record_forwarded_units(self, now: float, open_request: OpenRequest) -> None:
         """Take the units of a request that was forwarded."""
         request = open_request.request
         customer = open_request.customer
         admission = open_request.admission
-        self.attempt_dispatcher.open(open_request)
+        self.attempt_dispatcher.add_open_request(open_request)
         customer.record_forwarded_units(request.units, within_quota=admission.within_quota)
         customer.report.add_unreported(request.units * admission.report_weight - admission.reserved_units)
         is_limited_by_concurrency = customer.plan.rate <= 0 < customer.plan.max_concurrency
@@ -211,7 +213,7 @@
         request = open_request.request
         customer = open_request.customer
         admission = open_request.admission
-        self.attempt_dispatcher.close(request.id)
+        self.attempt_dispatcher.discard_open_request(request.id)
         customer.report.add_unreported(-admission.reserved_units)
         if admission.within_quota:
             retry_after = UPDATE_INTERVAL_MS
--- a/limiter/policy/admission_rules.py
+++ b/limiter/policy/admission_rules.py
@@ -21,7 +21,7 @@
 PLAN_DECISION_WEIGHT = DECISION_WEIGHT / 10
 
 
-class Verdict(Enum):
+class AdmissionDecision(Enum):
     """Whether a new request is admitted, and if not, the rule that rejects it."""
 
     ADMITTED = auto()
@@ -39,26 +39,26 @@
         self,
         context: EngineContext,
         customers: CustomerRegistry,
-        gossip: UsageGossip,
-        outliers: OutlierDetector,
-        fleet_limit: ConcurrencyLimit,
+        usage_gossip: UsageGossip,
+        outlier_detector: OutlierDetector,
+        concurrency_limit: ConcurrencyLimit,
     ) -> None:
         """Gather what the rules look at.
 
         Args:
             context: What the parts of the engine share.
             customers: The customers with recent requests, and how their plans fared.
-            gossip: What other limiters forwarded.
-            outliers: Knows the mean latency of an attempt.
-            fleet_limit: Knows how loaded the fleet of servers is.
+            usage_gossip: What other limiters forwarded.
+            outlier_detector: Knows the mean latency of an attempt.
+            concurrency_limit: Knows how loaded the fleet of servers is.
         """
         self._context = context
         self._customers = customers
-        self._gossip = gossip
-        self._outliers = outliers
-        self._fleet_limit = fleet_limit
+        self._usage_gossip = usage_gossip
+        self._outlier_detector = outlier_detector
+        self._concurrency_limit = concurrency_limit
 
-    def judge(self, now: float, request: OpenRequest, *, has_sample: bool) -> Verdict:
+    def evaluate(self, now: float, request: OpenRequest, *, has_sample: bool) -> AdmissionDecision:
         """Return the verdict on a request before a server is chosen for it.
 
         Args:
@@ -66,21 +66,21 @@
             request: The request; whether it is within its quota is noted in it.
             has_sample: Whether a sample of its customer's use stands behind the token bucket.
         """
-        if not self._passes_quota(now, request, has_sample):
-            return Verdict.OVER_QUOTA
+        if not self._is_admitted_by_quota(now, request, has_sample):
+            return AdmissionDecision.OVER_QUOTA
         if self._exceeds_ceiling(request):
-            return Verdict.OVER_CEILING
+            return AdmissionDecision.OVER_CEILING
         if self._exceeds_concurrency_quota(request.customer):
-            return Verdict.OVER_CONCURRENCY_QUOTA
-        if self._context.random.random() >= self._fleet_limit.admission_probability():
-            return Verdict.FLEET_OVERLOADED
-        return Verdict.ADMITTED
+            return AdmissionDecision.OVER_CONCURRENCY_QUOTA
+        if self._context.random.random() >= self._concurrency_limit.admission_probability():
+            return AdmissionDecision.FLEET_OVERLOADED
+        return AdmissionDecision.ADMITTED
 
-    def _passes_quota(self, now: float, request: OpenRequest, has_sample: bool) -> bool:
+    def _is_admitted_by_quota(self, now: float, request: OpenRequest, has_sample: bool) -> bool:
         """Whether the quota holds the request, or the draw by the admission probability admits it."""
         within_quota = self._is_within_quota(now, request, has_sample)
-        request.admission.record_quota(within_quota=within_quota)
-        passes = within_quota or (has_sample and self._passes_draw(request))
+        request.admission.record_quota_check(within_quota=within_quota)
+        passes = within_quota or (has_sample and self._is_admitted_by_random_draw(request))
         if has_sample and request.customer.is_widely_shared:
             self._record_decision(request, passes)
         return passes
@@ -91,21 +91,21 @@
         if plan.rate > 0 and has_sample:
             return customer.usage.tokens >= request.request.units
         if plan.rate > 0:
-            return self._passes_without_sample(customer)
-        if plan.max_concurrency > 0 and self._gossip.is_fresh(now):
-            usage = self._gossip.get_usage(now, request.request.customer, request.request.plan)
+            return self._is_admitted_without_sample(customer)
+        if plan.max_concurrency > 0 and self._usage_gossip.is_fresh(now):
+            usage = self._usage_gossip.get_usage(now, request.request.customer, request.request.plan)
             return self._context.random.random() < usage.probability
         return True
 
-    def _passes_without_sample(self, customer: Customer) -> bool:
+    def _is_admitted_without_sample(self, customer: Customer) -> bool:
         """Draw by the share of requests admitted of late, within this limiter's part of the rate."""
         probability = min(customer.admitted_fraction, customer.local_share.fallback_tokens)
         return self._context.random.random() < probability
 
-    def _passes_draw(self, request: OpenRequest) -> bool:
+    def _is_admitted_by_random_draw(self, request: OpenRequest) -> bool:
         """Draw by the admission probability, unless that was done at entry."""
         customer = request.customer
-        if customer.plan.rate <= 0 or request.admission.probability_drawn:
+        if customer.plan.rate <= 0 or request.admission.is_random_draw_done:
             return False
         return self._context.random.random() < customer.usage.probability
 
@@ -123,18 +123,20 @@
         if customer.plan.ceiling_rate <= 0:
             return False
         settings = self._context.settings
-        position = (settings.limiter_index - request.request.limiter_set_start) % settings.limiter_count
-        owns_no_part = position >= customer.limiter_set_size
-        return owns_no_part or customer.local_share.ceiling_tokens < request.request.units
+        index_in_limiter_set = (
+            settings.limiter_index - request.request.limiter_set_start
+        ) % settings.limiter_count
+        has_no_ceiling_share = index_in_limiter_set >= customer.limiter_set_size
+        return has_no_ceiling_share or customer.local_share.ceiling_tokens < request.request.units
 
     def _exceeds_concurrency_quota(self, customer: Customer) -> bool:
         """Whether as many attempts are in flight from here as the other limiters leave of the quota."""
         plan = customer.plan
         if plan.max_concurrency <= 0:
             return False
-        remote_in_flight = customer.remote_attempts_in_flight
+        remote_attempts_in_flight = customer.remote_attempts_in_flight
         if plan.rate > 0:
-            remote_in_flight = customer.usage.remote_rate * self._outliers.mean_latency
+            remote_attempts_in_flight = customer.usage.remote_rate * self._outlier_detector.mean_latency
         # One attempt is always allowed: the others' are an estimate.
-        max_in_flight = max(1, plan.max_concurrency - int(remote_in_flight))
+        max_in_flight = max(1, plan.max_concurrency - int(remote_attempts_in_flight))
         return customer.attempts_in_flight >= max_in_flight
--- a/limiter/policy/admission_state.py
+++ b/limiter/policy/admission_state.py
@@ -6,34 +6,34 @@
 
 
 @dataclass(slots=True, eq=False)
-class AdmissionNotes:
+class AdmissionState:
     """The part of an open request that admission owns.
 
     Attributes:
         within_quota: Whether the quota held the request's units.
-        probability_drawn: Whether the admission probability was applied at entry already.
+        is_random_draw_done: Whether the admission probability was applied at entry already.
         reserved_units: Units that were reported ahead of the decision on the request.
         report_weight: Number of requests for which its units are reported; 0 where they were reported ahead.
     """
 
     within_quota: bool = False
-    probability_drawn: bool = False
+    is_random_draw_done: bool = False
     reserved_units: float = 0.0
     report_weight: float = 1.0
 
-    def record_quota(self, *, within_quota: bool) -> None:
+    def record_quota_check(self, *, within_quota: bool) -> None:
         """Note whether the quota holds the request's units."""
         self.within_quota = within_quota
 
-    def mark_probability_drawn(self) -> None:
+    def mark_random_draw_done(self) -> None:
         """Note that the admission probability is applied: it is not applied again after a wait."""
-        self.probability_drawn = True
+        self.is_random_draw_done = True
 
     def set_report_weight(self, weight: float) -> None:
         """Report the request's units for so many requests like it."""
         self.report_weight = weight
 
-    def reserve(self, units: float) -> None:
+    def reserve_units(self, units: float) -> None:
         """Note units that are reported ahead of the decision."""
         self.reserved_units = units
 
--- a/limiter/policy/attempt_dispatch.py
+++ b/limiter/policy/attempt_dispatch.py
@@ -28,26 +28,26 @@
 RETRIES_PER_REQUEST = 0.2
 
 # Retries that can be saved up.
-MAX_RETRY_BUDGET = 10.0
+MAX_AVAILABLE_RETRIES = 10.0
 
 # With less than this share of the latency objective left, a retry comes too late to be of use.
-LAST_RETRY_SHARE = 0.1
+MIN_RETRY_TIME_FRACTION = 0.1
 
 # Utilization of the fleet from which on an attempt is not given up early: retries would add to the load.
-PRESSURED_UTILIZATION = 0.5
+MAX_EARLY_TIMEOUT_UTILIZATION = 0.5
 
 # An attempt that may be repeated is given up after this share of the latency objective, but not before this
 # many times the mean latency of the fleet.
-ATTEMPT_TIMEOUT_SHARE = 0.5
-ATTEMPT_TIMEOUT_LATENCIES = 4
+EARLY_TIMEOUT_OBJECTIVE_FRACTION = 0.5
+MIN_EARLY_TIMEOUT_MEAN_LATENCIES = 4
 
 
-class RepeatEffect(Enum):
+class RetrySafety(Enum):
     """What could happen if a request were sent once more."""
 
-    HARMLESS = auto()  # It has not run yet, or running it twice does no harm.
+    SAFE = auto()  # It has not run yet, or running it twice does no harm.
     DEDUPLICATED = auto()  # It may have run, but servers still recognise a repeat by its idempotency key.
-    HARMFUL = auto()  # It may run twice, and nobody would notice.
+    UNSAFE = auto()  # It may run twice, and nobody would notice.
 
 
 @dataclass(eq=False)
@@ -57,15 +57,15 @@
     available_retries: float = 1.0
 
     @property
-    def has_retry(self) -> bool:
+    def has_available_retry(self) -> bool:
         """Whether a retry may be made now."""
         return self.available_retries >= 1
 
-    def earn(self) -> None:
+    def record_request(self) -> None:
         """Add one request's part."""
-        self.available_retries = min(MAX_RETRY_BUDGET, self.available_retries + RETRIES_PER_REQUEST)
+        self.available_retries = min(MAX_AVAILABLE_RETRIES, self.available_retries + RETRIES_PER_REQUEST)
 
-    def spend(self) -> None:
+    def record_retry(self) -> None:
         """Take a retry that is made."""
         self.available_retries -= 1
 
@@ -92,35 +92,35 @@
     open_requests: dict[int, OpenRequest] = field(default_factory=dict)
     retry_budget: RetryBudget = field(default_factory=RetryBudget)
 
-    def open(self, request: OpenRequest) -> None:
+    def add_open_request(self, request: OpenRequest) -> None:
         """Enter a request that is held or forwarded; one that was held before stays entered."""
         self.open_requests[request.request.id] = request
 
-    def close(self, request_id: int) -> None:
+    def discard_open_request(self, request_id: int) -> None:
         """Forget a request that is rejected without an attempt, if it was entered."""
         self.open_requests.pop(request_id, None)
 
-    def send(self, now: float, request: OpenRequest) -> bool:
+    def send_attempt(self, now: float, request: OpenRequest) -> bool:
         """Send the next attempt of a request; return False if it is too late or no server may take it."""
-        time_left = request.useful_until - now
-        if time_left <= 0 or not self._has_attempt_left(request):
+        time_left = request.response_deadline - now
+        if time_left <= 0 or not self._has_remaining_attempt(request):
             return False
         server = self.server_selector.choose(now, request)
         if server is None:
             return False
         self.server_selector.slow_start.record_attempt(server)
-        server.start_attempt(request.request.id, request.attempts.count, now)
+        server.start_attempt(request.request.id, request.attempts.sent_count, now)
         request.start_attempt(now, server.endpoint)
         self.concurrency_limit.record_attempt_started()
         self.usage_gossip.schedule()
-        timeout = self._attempt_timeout(request, time_left)
+        timeout = self._compute_attempt_timeout(request, time_left)
         self.context.actions.append(SendAttempt(request.request.id, server.endpoint.id, timeout))
         return True
 
-    def _has_attempt_left(self, request: OpenRequest) -> bool:
-        return request.attempts.count < self.context.settings.max_attempts
+    def _has_remaining_attempt(self, request: OpenRequest) -> bool:
+        return request.attempts.sent_count < self.context.settings.max_attempts
 
-    def _attempt_timeout(self, request: OpenRequest, time_left: float) -> float:
+    def _compute_attempt_timeout(self, request: OpenRequest, time_left: float) -> float:
         """Return the time after which the attempt just begun is given up.
 
         Args:
@@ -132,13 +132,17 @@
         """
         request_class = request.request_class
         is_idempotent = request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
-        may_repeat = is_idempotent and not request_class.streams_response and self._has_attempt_left(request)
-        is_pressured = self.concurrency_limit.utilization >= PRESSURED_UTILIZATION
-        if not may_repeat or is_pressured or not self.retry_budget.has_retry:
+        is_retryable = (
+            is_idempotent and not request_class.streams_response and self._has_remaining_attempt(request)
+        )
+        is_fleet_loaded = self.concurrency_limit.utilization >= MAX_EARLY_TIMEOUT_UTILIZATION
+        if not is_retryable or is_fleet_loaded or not self.retry_budget.has_available_retry:
             return time_left
-        objective_share = request_class.latency_objective * ATTEMPT_TIMEOUT_SHARE
-        usual_latency = ATTEMPT_TIMEOUT_LATENCIES * self.server_selector.outlier_detector.mean_latency
-        return min(time_left, max(objective_share, usual_latency))
+        objective_timeout = request_class.latency_objective * EARLY_TIMEOUT_OBJECTIVE_FRACTION
+        min_early_timeout = (
+            MIN_EARLY_TIMEOUT_MEAN_LATENCIES * self.server_selector.outlier_detector.mean_latency
+        )
+        return min(time_left, max(objective_timeout, min_early_timeout))
 
     def handle_attempt_ended(self, now: float, ended: AttemptEnded) -> None:
         """Take in how an attempt ended; retry its request or end that."""
@@ -166,33 +170,39 @@
 
     def _retry_or_end(self, now: float, request: OpenRequest) -> None:
         """Retry a request without an attempt in flight, or give it its final response."""
-        effect = self._repeat_effect(now, request)
-        if effect is not RepeatEffect.HARMFUL and self._retry(now, request):
+        retry_safety = self._determine_retry_safety(now, request)
+        if retry_safety is not RetrySafety.UNSAFE and self._retry(now, request):
             return
         request_id = request.request.id
         del self.open_requests[request_id]
-        if effect is RepeatEffect.HARMLESS:
+        if retry_safety is RetrySafety.SAFE:
             self.context.actions.append(RejectRequest(request_id, UPDATE_INTERVAL_MS))
         else:
             self.context.actions.append(FailRequest(request_id))
 
     @staticmethod
-    def _repeat_effect(now: float, request: OpenRequest) -> RepeatEffect:
+    def _determine_retry_safety(now: float, request: OpenRequest) -> RetrySafety:
         first = request.attempts.first_attempt
         request_class = request.request_class
         if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
-            return RepeatEffect.HARMLESS
+            return RetrySafety.SAFE
         has_key = request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
         if has_key and now < first.sent_at + request_class.dedup_window:
-            return RepeatEffect.DEDUPLICATED
-        return RepeatEffect.HARMFUL
+            return RetrySafety.DEDUPLICATED
+        return RetrySafety.UNSAFE
 
     def _retry(self, now: float, request: OpenRequest) -> bool:
         """Send a request once more, if there is budget and time for it; return whether it was sent."""
-        latest = request.useful_until - LAST_RETRY_SHARE * request.request_class.latency_objective
-        if not self.retry_budget.has_retry or now >= latest or not self.send(now, request):
+        latest_retry_time = (
+            request.response_deadline - MIN_RETRY_TIME_FRACTION * request.request_class.latency_objective
+        )
+        if (
+            not self.retry_budget.has_available_retry
+            or now >= latest_retry_time
+            or not self.send_attempt(now, request)
+        ):
             return False
-        self.retry_budget.spend()
+        self.retry_budget.record_retry()
         return True
 
     def handle_disconnect(self, _now: float, disconnected: ClientDisconnected) -> None:
--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -54,24 +54,24 @@
             context, self.customers, self.server_selector, self.concurrency_limit, self.usage_gossip
         )
         self.usage_sampler = UsageSampler(context, self.customers, self.usage_gossip)
-        self.admission = self._make_admission(context)
+        self.admission = self._create_admission_controller(context)
         self.discovery_backoff = DiscoveryBackoff(
             context, self.server_selector.table, self.usage_gossip.is_enabled
         )
 
-    def _make_admission(self, context: EngineContext) -> AdmissionController:
+    def _create_admission_controller(self, context: EngineContext) -> AdmissionController:
         housekeeping = CustomerHousekeeping(context)
         return AdmissionController(
             context=context,
             customers=self.customers,
             usage_sampler=self.usage_sampler,
             usage_gossip=self.usage_gossip,
-            rules=AdmissionRules(
+            admission_rules=AdmissionRules(
                 context, self.customers, self.usage_gossip, self.outlier_detector, self.concurrency_limit
             ),
             attempt_dispatcher=self.attempt_dispatcher,
             held_requests=HeldRequests(context, self.usage_sampler, self.attempt_dispatcher, housekeeping),
-            reporter=UsageReporter(self.usage_sampler, housekeeping),
+            usage_reporter=UsageReporter(self.usage_sampler, housekeeping),
             housekeeping=housekeeping,
         )
 
@@ -118,7 +118,7 @@
         """Begin with the first event."""
         self._is_started = True
         self.context.start(now)
-        self.concurrency_limit.start(now)
+        self.concurrency_limit.start_measuring(now)
         self.discovery_backoff.start()
 
     def _handle_timer(self, now: float, fired: events.TimerFired) -> None:
@@ -128,7 +128,9 @@
             case TimerToken.DISCOVERY_POLL:
                 self.discovery_backoff.handle_poll_timer()
             case TimerToken.USAGE_GOSSIP if self.usage_gossip.is_enabled:
-                self.usage_gossip.send(self.concurrency_limit.working, self.concurrency_limit.latency)
+                self.usage_gossip.send(
+                    self.concurrency_limit.active_attempts, self.concurrency_limit.smoothed_latency
+                )
                 if self.concurrency_limit.in_flight or self.usage_gossip.has_unsent_units:
                     self.usage_gossip.schedule()
             case TimerToken.DISCOVERY_GOSSIP:
@@ -143,5 +145,5 @@
         has_change = change.is_full_list or bool(change.endpoints)
         if has_change:
             self.server_selector.update_endpoints(change)
-            if not self.concurrency_limit.is_known:
+            if not self.concurrency_limit.has_been_computed:
                 self.concurrency_limit.update(now)
--- a/limiter/policy/local_share.py
+++ b/limiter/policy/local_share.py
@@ -29,8 +29,8 @@
     def refill(self, elapsed: float, plan: QuotaPlan, limiter_set_size: float) -> None:
         """Fill both buckets for `elapsed` milliseconds."""
         ceiling_refill = plan.ceiling_rate / 1000 / limiter_set_size * elapsed
-        ceiling_part = plan.ceiling_burst / limiter_set_size
-        self.ceiling_tokens = min(ceiling_part, self.ceiling_tokens + ceiling_refill)
+        ceiling_capacity = plan.ceiling_burst / limiter_set_size
+        self.ceiling_tokens = min(ceiling_capacity, self.ceiling_tokens + ceiling_refill)
         refilled = self.fallback_tokens + plan.rate / 1000 * elapsed / limiter_set_size
         self.fallback_tokens = min(MAX_FALLBACK_TOKENS, refilled)
 
--- a/limiter/policy/open_request.py
+++ b/limiter/policy/open_request.py
@@ -6,7 +6,7 @@
 
 from limiter.model.events import ClientRequest, Endpoint, EndpointId
 from limiter.model.settings import RequestClass
-from limiter.policy.admission_state import AdmissionNotes
+from limiter.policy.admission_state import AdmissionState
 from limiter.policy.customer import Customer
 
 
@@ -30,28 +30,28 @@
     """The attempts of one request.
 
     Attributes:
-        count: Attempts that were sent so far.
+        sent_count: Attempts that were sent so far.
         in_flight: Those of them that have not ended.
         first_attempt: The earliest attempt that may have run; None while no attempt can have run.
         tried_endpoint_ids: Ids of the servers that attempts were sent to.
         is_streaming: Whether the client has got part of a response.
     """
 
-    count: int = 0
+    sent_count: int = 0
     in_flight: int = 0
     first_attempt: FirstAttempt | None = None
     tried_endpoint_ids: set[EndpointId] = field(default_factory=set)
     is_streaming: bool = False
 
-    def start(self, now: float, endpoint: Endpoint) -> None:
+    def record_sent(self, now: float, endpoint: Endpoint) -> None:
         """Count an attempt that is sent to the server at this endpoint now."""
         if self.first_attempt is None:
-            self.first_attempt = FirstAttempt(self.count, endpoint, now)
+            self.first_attempt = FirstAttempt(self.sent_count, endpoint, now)
         self.tried_endpoint_ids.add(endpoint.id)
-        self.count += 1
+        self.sent_count += 1
         self.in_flight += 1
 
-    def end(self) -> None:
+    def record_ended(self) -> None:
         """Count the end of an attempt."""
         self.in_flight -= 1
 
@@ -73,7 +73,7 @@
         request: The request as it arrived.
         request_class: Its class in the settings.
         customer: The customer who sent it.
-        useful_until: A response that is later than this is of no use.
+        response_deadline: A response that is later than this is of no use.
         admission: What admission noted.
         attempts: The attempts that were sent.
     """
@@ -81,16 +81,16 @@
     request: ClientRequest
     request_class: RequestClass
     customer: Customer
-    useful_until: float
-    admission: AdmissionNotes = field(default_factory=AdmissionNotes)
+    response_deadline: float
+    admission: AdmissionState = field(default_factory=AdmissionState)
     attempts: RequestAttempts = field(default_factory=RequestAttempts)
 
     def start_attempt(self, now: float, endpoint: Endpoint) -> None:
         """Count an attempt that is sent to the server at this endpoint now."""
-        self.attempts.start(now, endpoint)
+        self.attempts.record_sent(now, endpoint)
         self.customer.start_attempt()
 
     def end_attempt(self) -> None:
         """Count the end of an attempt."""
-        self.attempts.end()
+        self.attempts.record_ended()
         self.customer.end_attempts(1)
