--- a/limiter/policy/__init__.py
+++ b/limiter/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the limiter, without I/O; see docs/design.md."""
+"""Decision logic of the limiter. It performs no I/O. See docs/design.md."""
--- a/limiter/policy/admission.py
+++ b/limiter/policy/admission.py
@@ -1,8 +1,10 @@
-"""Admission: a new request is forwarded or rejected at once, or held for a moment until the counter replies.
+"""Admission control: forwards or rejects each new request, or holds it until the counter replies.
 
-Where a limiter sees enough of a customer, its samples decide at once. Where it does not, gossip decides, or
-the counter is asked; without either, a draw by what was admitted of late. The rules themselves are in
-`admission_rules.py`. Types: limiter/model. Times are milliseconds.
+A request of a customer that this limiter samples often enough is decided at once. For a widely shared
+customer, whose requests reach one limiter too rarely, the decision uses gossip while gossip is fresh, and
+otherwise waits for a reply of the counter. If no counter call can be made either, the request is admitted
+at random, with the fraction of the customer's recent requests that was admitted as the probability. The
+rules are in `admission_rules.py`. Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -24,28 +26,28 @@
 from limiter.policy.usage_reporting import UsageReporter
 from limiter.policy.usage_sampling import UsageSampler
 
-# Smallest fraction of its burst that a bucket rebuilt from gossip must hold for a request to be admitted
+# Minimum fraction of the burst that a bucket rebuilt from gossip must hold for a request to be admitted
 # without a counter call.
 MIN_BURST_FRACTION_WITHOUT_COUNTER_CALL = 0.7
-# A request is reported ahead, with the call that it waits for, if at least this share of the customer's
-# latest requests was admitted.
+# The counter call that a request waits for already adds the request's units if at least this fraction of the
+# customer's recent requests was admitted.
 MIN_ADMITTED_FRACTION_TO_RESERVE = 0.5
 
 
 @dataclass(eq=False)
 class AdmissionController:
-    """Decides on each new request.
+    """Admits, holds or rejects each new request.
 
     Args:
-        context: What the parts of the engine share.
+        context: State shared by the components of the engine.
         customers: The customers with recent requests.
-        usage_sampler: Makes calls to the counter and takes in their replies.
-        usage_gossip: What other limiters forwarded.
-        admission_rules: Judge a request.
+        usage_sampler: Calls the counter and processes its replies.
+        usage_gossip: Usage that the other limiters report by gossip.
+        admission_rules: The rules that decide on a request.
         attempt_dispatcher: Sends the attempts of admitted requests.
-        held_requests: Requests that wait for the counter.
-        usage_reporter: Reports the use of customers to the counter.
-        housekeeping: Customers to look at again.
+        held_requests: Requests that wait for a reply of the counter.
+        usage_reporter: Reports the usage of customers to the counter.
+        housekeeping: Customers that are due for a periodic check.
     """
 
     context: EngineContext
@@ -59,7 +61,7 @@
     housekeeping: CustomerHousekeeping
 
     def handle_request(self, now: float, request: ClientRequest) -> None:
-        """Decide on a new request, or hold it for the counter's reply."""
+        """Decide on a new request, or hold it until the counter replies."""
         if not self._is_valid(request):
             return
         customer = self.customers.get_or_create(now, request)
@@ -74,7 +76,7 @@
             self._decide_by_counter(now, open_request)
 
     def _is_valid(self, request: ClientRequest) -> bool:
-        """Whether the settings know the request's plan and class, and no open request has its id."""
+        """Return whether the settings define the request's plan and class, and no open request has its id."""
         settings = self.context.settings
         has_plan = request.plan < len(settings.plans)
         has_class = request.request_class < len(settings.request_classes)
@@ -84,13 +86,17 @@
         request_class = self.context.settings.request_classes[request.request_class]
         response_deadline = request.expires_at
         if request_class.late_weight_fraction <= 0:
-            # A late response is worth nothing: the request ends with its objective and leaves its capacity to
-            # others.
+            # A late response has no value, so the request ends at its latency objective, which frees its
+            # capacity for other requests.
             response_deadline = min(response_deadline, now + request_class.latency_objective)
         return OpenRequest(request, request_class, customer, response_deadline)
 
     def _decide_by_gossip(self, now: float, request: OpenRequest) -> None:
-        """Judge by the bucket rebuilt from gossip; near its end the total of a slot decides."""
+        """Decide by the token bucket that is rebuilt from gossip, if it is well filled.
+
+        Otherwise the admission probability is applied, and a request that it admits is held for the counter's
+        total of the current slot (a short epoch in which the total alone decides).
+        """
         customer = request.customer
         usage = customer.usage
         units = request.request.units
@@ -106,10 +112,13 @@
         self._decide(now, request, has_sample=True)
 
     def _hold_for_slot_total(self, now: float, request: OpenRequest) -> bool:
-        """Hold a request for the slot's total: it says whether the request fits, and counts all that asked.
+        """Hold a request until the counter returns the total of the current slot.
+
+        The total shows whether the request fits into the slot. It counts all requests for which the counter
+        was asked, whether they are admitted or not.
 
         Returns:
-            Whether it is held.
+            Whether the request is held.
         """
         admission = request.admission
         report = request.customer.report
@@ -124,9 +133,10 @@
         return is_held
 
     def _decide_by_counter(self, now: float, request: OpenRequest) -> None:
-        """Judge by the reply to a call, made with the call probability.
+        """Hold a request for a counter call, which is made with the call probability, or decide without one.
 
-        Where calls are made for some requests only, each reports for the others too.
+        If the call probability is below 1, each call also reports the units of the requests for which no call
+        was made: the units are multiplied by the inverse of the probability.
         """
         customer = request.customer
         admission = request.admission
@@ -144,13 +154,13 @@
         self._decide(now, request, has_sample=False)
 
     def handle_counter_reply(self, now: float, reply: CounterReply) -> None:
-        """Take in a reply and decide on the requests that were held for it."""
+        """Process a reply of the counter and decide on the requests that were held for it."""
         customer = self.usage_sampler.handle_reply(now, reply)
         if customer is not None:
             self._decide_held_requests(now, customer, has_sample=reply.outcome is Outcome.OK)
 
     def handle_housekeeping(self, now: float) -> None:
-        """Release requests whose reply never came, and report use that has waited for long."""
+        """Decide on requests whose counter call is overdue, and report usage that is overdue for a report."""
         for customer in self.housekeeping.take_due(now):
             if self.held_requests.is_call_overdue(now, customer):
                 self._decide_held_requests(now, customer, has_sample=False)
@@ -161,7 +171,7 @@
                 self.usage_reporter.schedule_recheck(now, customer)
 
     def _decide_held_requests(self, now: float, customer: Customer, has_sample: bool) -> None:
-        """Decide on the requests that were held for a call of the customer."""
+        """Decide on the requests that were held for a counter call of the customer."""
         requests = self.held_requests.take_requests(customer)
         if requests and not has_sample and requests[0].admission.is_random_draw_done:
             has_sample = self._set_tokens_from_gossip(now, requests[0])
@@ -171,19 +181,23 @@
                 self._decide(now, request, has_sample=has_sample)
 
     def _set_tokens_from_gossip(self, now: float, request: OpenRequest) -> bool:
-        """Let gossip stand for a slot's total that did not come; whether gossip is fresh."""
+        """Set the bucket from gossip, if gossip is fresh, in place of a slot total that was not received.
+
+        Returns:
+            Whether gossip is fresh.
+        """
         is_fresh = self.usage_gossip.is_fresh(now)
         if is_fresh:
             request.customer.usage.set_tokens(self.usage_gossip.estimate_quota(now, request.request).tokens)
         return is_fresh
 
     def _decide(self, now: float, request: OpenRequest, *, has_sample: bool) -> None:
-        """Forward or reject a request, and report its use.
+        """Forward or reject a request, and report its usage.
 
         Args:
             now: Time of the decision.
             request: The request.
-            has_sample: Whether a sample of its customer's use stands behind the token bucket.
+            has_sample: Whether the customer's token bucket is based on a sample of its usage.
         """
         decision = self.admission_rules.evaluate(now, request, has_sample=has_sample)
         if decision is AdmissionDecision.ADMITTED and not self.attempt_dispatcher.send_attempt(now, request):
@@ -197,7 +211,7 @@
         )
 
     def _record_forwarded_units(self, now: float, open_request: OpenRequest) -> None:
-        """Take the units of a request that was forwarded."""
+        """Charge a forwarded request's units to its customer, and queue them for the counter and gossip."""
         request = open_request.request
         customer = open_request.customer
         admission = open_request.admission
@@ -209,7 +223,7 @@
             self.usage_gossip.record_forwarded_units(now, request.customer, request.plan, request.units)
 
     def _reject(self, open_request: OpenRequest) -> None:
-        """Reject a request, and tell its client when to come back."""
+        """Reject a request, and tell its client how long to wait before a retry."""
         request = open_request.request
         customer = open_request.customer
         admission = open_request.admission
--- a/limiter/policy/admission_rules.py
+++ b/limiter/policy/admission_rules.py
@@ -1,6 +1,6 @@
-"""The rules that a new request has to pass, one after the other, and the verdict on it.
+"""The rules that decide whether a new request is admitted, in the order in which they are applied.
 
-Types: limiter/model. Times are milliseconds.
+Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -15,14 +15,15 @@
 from limiter.policy.outlier_detection import OutlierDetector
 from limiter.policy.usage_gossip import UsageGossip
 
-# Weight of the newest decision in a customer's share of admitted requests.
+# Weight of the newest decision in the moving average of a customer's admitted requests.
 DECISION_WEIGHT = 0.3
-# The same in the share of its plan, which many customers have a part in.
+# Weight of the newest decision in the moving average of a plan. It is smaller, because decisions on many
+# customers contribute to it.
 PLAN_DECISION_WEIGHT = DECISION_WEIGHT / 10
 
 
 class AdmissionDecision(Enum):
-    """Whether a new request is admitted, and if not, the rule that rejects it."""
+    """Whether a new request is admitted, and if not, the reason for the rejection."""
 
     ADMITTED = auto()
     OVER_QUOTA = auto()
@@ -33,7 +34,7 @@
 
 
 class AdmissionRules:
-    """Judges new requests; the order of the rules, and of their random draws, is that of `judge`."""
+    """Decides on new requests. `evaluate` fixes the order of the rules and of their random draws."""
 
     def __init__(
         self,
@@ -43,14 +44,14 @@
         outlier_detector: OutlierDetector,
         concurrency_limit: ConcurrencyLimit,
     ) -> None:
-        """Gather what the rules look at.
+        """Store the components that the rules read.
 
         Args:
-            context: What the parts of the engine share.
-            customers: The customers with recent requests, and how their plans fared.
-            usage_gossip: What other limiters forwarded.
-            outlier_detector: Knows the mean latency of an attempt.
-            concurrency_limit: Knows how loaded the fleet of servers is.
+            context: State shared by the components of the engine.
+            customers: The customers with recent requests, and the recent decisions by plan.
+            usage_gossip: Usage that the other limiters report by gossip.
+            outlier_detector: Supplies the mean latency of an attempt.
+            concurrency_limit: Supplies the admission probability that the load of the fleet permits.
         """
         self._context = context
         self._customers = customers
@@ -59,12 +60,12 @@
         self._concurrency_limit = concurrency_limit
 
     def evaluate(self, now: float, request: OpenRequest, *, has_sample: bool) -> AdmissionDecision:
-        """Return the verdict on a request before a server is chosen for it.
+        """Return the decision on a request, before a server is chosen for it.
 
         Args:
             now: Time of the decision.
-            request: The request; whether it is within its quota is noted in it.
-            has_sample: Whether a sample of its customer's use stands behind the token bucket.
+            request: The request. Its admission state records whether it is within the quota.
+            has_sample: Whether the customer's token bucket is based on a sample of its usage.
         """
         if not self._is_admitted_by_quota(now, request, has_sample):
             return AdmissionDecision.OVER_QUOTA
@@ -77,7 +78,7 @@
         return AdmissionDecision.ADMITTED
 
     def _is_admitted_by_quota(self, now: float, request: OpenRequest, has_sample: bool) -> bool:
-        """Whether the quota holds the request, or the draw by the admission probability admits it."""
+        """Return whether the request is within the quota or admitted beyond it by a random draw."""
         within_quota = self._is_within_quota(now, request, has_sample)
         request.admission.record_quota_check(within_quota=within_quota)
         passes = within_quota or (has_sample and self._is_admitted_by_random_draw(request))
@@ -98,12 +99,12 @@
         return True
 
     def _is_admitted_without_sample(self, customer: Customer) -> bool:
-        """Draw by the share of requests admitted of late, within this limiter's part of the rate."""
+        """Admit at random, by the fraction of recent requests admitted, within this limiter's rate share."""
         probability = min(customer.admitted_fraction, customer.local_share.fallback_tokens)
         return self._context.random.random() < probability
 
     def _is_admitted_by_random_draw(self, request: OpenRequest) -> bool:
-        """Draw by the admission probability, unless that was done at entry."""
+        """Admit at random, by the admission probability, unless it was applied when the request arrived."""
         customer = request.customer
         if customer.plan.rate <= 0 or request.admission.is_random_draw_done:
             return False
@@ -118,7 +119,7 @@
             history.record_probability(DECISION_WEIGHT, customer.usage.probability)
 
     def _exceeds_ceiling(self, request: OpenRequest) -> bool:
-        """Whether this limiter's part of the ceiling does not hold the request."""
+        """Return whether the request exceeds this limiter's share of the customer's ceiling."""
         customer = request.customer
         if customer.plan.ceiling_rate <= 0:
             return False
@@ -130,13 +131,13 @@
         return has_no_ceiling_share or customer.local_share.ceiling_tokens < request.request.units
 
     def _exceeds_concurrency_quota(self, customer: Customer) -> bool:
-        """Whether as many attempts are in flight from here as the other limiters leave of the quota."""
+        """Return whether this limiter uses all of the concurrency quota that the other limiters leave."""
         plan = customer.plan
         if plan.max_concurrency <= 0:
             return False
         remote_attempts_in_flight = customer.remote_attempts_in_flight
         if plan.rate > 0:
             remote_attempts_in_flight = customer.usage.remote_rate * self._outlier_detector.mean_latency
-        # One attempt is always allowed: the others' are an estimate.
+        # One attempt is always allowed, because the attempts of the other limiters are only an estimate.
         max_in_flight = max(1, plan.max_concurrency - int(remote_attempts_in_flight))
         return customer.attempts_in_flight >= max_in_flight
--- a/limiter/policy/admission_state.py
+++ b/limiter/policy/admission_state.py
@@ -1,4 +1,4 @@
-"""What admission notes of one open request. It uses none of the types in limiter/model."""
+"""Admission state of one open request. This module uses no types of limiter/model."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 
 @dataclass(slots=True, eq=False)
 class AdmissionState:
-    """The part of an open request that admission owns.
+    """The part of an open request that only admission control writes.
 
     Attributes:
-        within_quota: Whether the quota held the request's units.
-        is_random_draw_done: Whether the admission probability was applied at entry already.
-        reserved_units: Units that were reported ahead of the decision on the request.
-        report_weight: Number of requests for which its units are reported; 0 where they were reported ahead.
+        within_quota: Whether the customer's quota covered the request's units.
+        is_random_draw_done: Whether the admission probability was already applied when the request arrived.
+        reserved_units: Units that were reported to the counter before the decision on the request.
+        report_weight: Number of requests that the report of this request's units stands for; 0 if the units
+            are not reported after the decision, for example because they were reported before it.
     """
 
     within_quota: bool = False
@@ -22,21 +23,21 @@
     report_weight: float = 1.0
 
     def record_quota_check(self, *, within_quota: bool) -> None:
-        """Note whether the quota holds the request's units."""
+        """Record whether the quota covers the request's units."""
         self.within_quota = within_quota
 
     def mark_random_draw_done(self) -> None:
-        """Note that the admission probability is applied: it is not applied again after a wait."""
+        """Record that the admission probability was applied, so that it is not applied again after a hold."""
         self.is_random_draw_done = True
 
     def set_report_weight(self, weight: float) -> None:
-        """Report the request's units for so many requests like it."""
+        """Set how many requests the report of this request's units stands for."""
         self.report_weight = weight
 
     def reserve_units(self, units: float) -> None:
-        """Note units that are reported ahead of the decision."""
+        """Record units that are reported to the counter before the decision."""
         self.reserved_units = units
 
     def release_reservation(self) -> None:
-        """Forget the units reported ahead: they are accounted for elsewhere or taken back."""
+        """Clear the reservation once its units are accounted for elsewhere or withdrawn."""
         self.reserved_units = 0.0
