--- a/limiter/policy/attempt_dispatch.py
+++ b/limiter/policy/attempt_dispatch.py
@@ -1,6 +1,6 @@
-"""Dispatch of attempts: sends them to servers, handles their ends, and retries or ends their requests.
+"""Attempt dispatch: sends attempts to servers, handles their outcomes, and retries or finishes requests.
 
-Types: limiter/model. All times and durations are milliseconds.
+Types are defined in limiter/model. Times and durations are in milliseconds.
 """
 
 from dataclasses import dataclass, field
@@ -23,36 +23,39 @@
 from limiter.policy.throttle import UPDATE_INTERVAL_MS
 from limiter.policy.usage_gossip import UsageGossip
 
-# Retries that each request adds to the budget. A small share keeps retries from multiplying the load of a
-# fleet that fails; it hurts where many servers fail at once.
+# Retries that each request adds to the budget. A small ratio prevents retries from multiplying the load of a
+# failing fleet. Its drawback is that too few retries are available when many servers fail at once.
 RETRIES_PER_REQUEST = 0.2
 
-# Retries that can be saved up.
+# Maximum number of retries that the budget accumulates.
 MAX_AVAILABLE_RETRIES = 10.0
 
-# With less than this share of the latency objective left, a retry comes too late to be of use.
+# Minimum time before the response deadline for a retry to be useful, as a fraction of the latency objective.
 MIN_RETRY_TIME_FRACTION = 0.1
 
-# Utilization of the fleet from which on an attempt is not given up early: retries would add to the load.
+# Utilization of the fleet at and above which attempts do not time out early, because the retries that follow
+# would add to the load.
 MAX_EARLY_TIMEOUT_UTILIZATION = 0.5
 
-# An attempt that may be repeated is given up after this share of the latency objective, but not before this
-# many times the mean latency of the fleet.
+# An attempt that may be retried times out early, after this fraction of the latency objective, but not before
+# this multiple of the mean latency of the fleet.
 EARLY_TIMEOUT_OBJECTIVE_FRACTION = 0.5
 MIN_EARLY_TIMEOUT_MEAN_LATENCIES = 4
 
 
 class RetrySafety(Enum):
-    """What could happen if a request were sent once more."""
+    """What a further attempt of a request could cause."""
 
-    SAFE = auto()  # It has not run yet, or running it twice does no harm.
-    DEDUPLICATED = auto()  # It may have run, but servers still recognise a repeat by its idempotency key.
-    UNSAFE = auto()  # It may run twice, and nobody would notice.
+    SAFE = auto()  # The request has not run, or it is idempotent.
+    DEDUPLICATED = (
+        auto()
+    )  # The request may have run, but servers still detect a repeat by its idempotency key.
+    UNSAFE = auto()  # The request may run twice, and no server would detect it.
 
 
 @dataclass(eq=False)
 class RetryBudget:
-    """Retries that may be made: each request earns a part of one."""
+    """The number of retries that may be made; each request adds a fraction of a retry."""
 
     available_retries: float = 1.0
 
@@ -62,26 +65,26 @@
         return self.available_retries >= 1
 
     def record_request(self) -> None:
-        """Add one request's part."""
+        """Add the fraction of a retry that one request grants."""
         self.available_retries = min(MAX_AVAILABLE_RETRIES, self.available_retries + RETRIES_PER_REQUEST)
 
     def record_retry(self) -> None:
-        """Take a retry that is made."""
+        """Deduct one retry."""
         self.available_retries -= 1
 
 
 @dataclass(eq=False)
 class AttemptDispatcher:
-    """Owns the open requests and the retry budget: sends attempts, and ends the requests.
+    """Sends the attempts of open requests, retries failed ones and finishes the requests.
 
     Attributes:
-        context: What the parts of the policy engine share.
-        customers: The customers whose requests these are.
-        server_selector: Chooses the server of an attempt.
-        concurrency_limit: Counts the attempts in flight from here.
-        usage_gossip: Tells the other limiters of them.
-        open_requests: Open requests by id, those that are held for a counter reply included.
-        retry_budget: Retries that may be made.
+        context: State shared by the components of the engine.
+        customers: The customers with recent requests.
+        server_selector: Chooses the server of each attempt.
+        concurrency_limit: Counts the attempts in flight from this limiter.
+        usage_gossip: Reports the attempts in flight to the other limiters.
+        open_requests: Open requests by id, including those that are held for a reply of the counter.
+        retry_budget: Limits the number of retries.
     """
 
     context: EngineContext
@@ -93,15 +96,20 @@
     retry_budget: RetryBudget = field(default_factory=RetryBudget)
 
     def add_open_request(self, request: OpenRequest) -> None:
-        """Enter a request that is held or forwarded; one that was held before stays entered."""
+        """Add a request that is held or forwarded; adding it again after a hold has no effect."""
         self.open_requests[request.request.id] = request
 
     def discard_open_request(self, request_id: int) -> None:
-        """Forget a request that is rejected without an attempt, if it was entered."""
+        """Remove a request that is rejected without an attempt, if it is among the open requests."""
         self.open_requests.pop(request_id, None)
 
     def send_attempt(self, now: float, request: OpenRequest) -> bool:
-        """Send the next attempt of a request; return False if it is too late or no server may take it."""
+        """Send the next attempt of a request.
+
+        Returns:
+            Whether it was sent; False if the response deadline has passed, no attempt is left, or no server
+            can take it.
+        """
         time_left = request.response_deadline - now
         if time_left <= 0 or not self._has_remaining_attempt(request):
             return False
@@ -121,14 +129,14 @@
         return request.attempts.sent_count < self.context.settings.max_attempts
 
     def _compute_attempt_timeout(self, request: OpenRequest, time_left: float) -> float:
-        """Return the time after which the attempt just begun is given up.
+        """Return the timeout of the attempt that was just started.
 
         Args:
             request: The request.
-            time_left: Time in which a response to the request is of use.
+            time_left: Time until the response deadline of the request.
 
         Returns:
-            The time left, or less where that makes room for a retry.
+            The time left, or a shorter timeout that leaves time for a retry.
         """
         request_class = request.request_class
         is_idempotent = request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
@@ -145,11 +153,11 @@
         return min(time_left, max(objective_timeout, min_early_timeout))
 
     def handle_attempt_ended(self, now: float, ended: AttemptEnded) -> None:
-        """Take in how an attempt ended; retry its request or end that."""
+        """Record the outcome of an attempt, then retry or finish its request."""
         server = self.server_selector.table.by_id.get(ended.endpoint_id)
         is_ok = ended.outcome is Outcome.OK
         if server is None or not server.end_attempt(ended.request_id, ended.attempt, is_ok):
-            return  # The attempt was not sent by this process.
+            return  # This process did not send the attempt.
         is_success = self.server_selector.outlier_detector.record_outcome(now, server.health, ended)
         self.concurrency_limit.record_attempt_ended(is_success)
         request = self.open_requests.get(ended.request_id)
@@ -164,12 +172,12 @@
             return
         attempts = request.attempts
         if ended.outcome in NOT_EXECUTED_OUTCOMES:
-            attempts.mark_never_ran(ended.attempt)
+            attempts.mark_not_executed(ended.attempt)
         if not attempts.in_flight and not attempts.is_streaming:
-            self._retry_or_end(now, request)
+            self._retry_or_finish(now, request)
 
-    def _retry_or_end(self, now: float, request: OpenRequest) -> None:
-        """Retry a request without an attempt in flight, or give it its final response."""
+    def _retry_or_finish(self, now: float, request: OpenRequest) -> None:
+        """Retry a request that has no attempt in flight, or finish it as rejected or failed."""
         retry_safety = self._determine_retry_safety(now, request)
         if retry_safety is not RetrySafety.UNSAFE and self._retry(now, request):
             return
@@ -192,7 +200,11 @@
         return RetrySafety.UNSAFE
 
     def _retry(self, now: float, request: OpenRequest) -> bool:
-        """Send a request once more, if there is budget and time for it; return whether it was sent."""
+        """Retry a request if the retry budget and the time left allow it.
+
+        Returns:
+            Whether an attempt was sent.
+        """
         latest_retry_time = (
             request.response_deadline - MIN_RETRY_TIME_FRACTION * request.request_class.latency_objective
         )
@@ -206,13 +218,13 @@
         return True
 
     def handle_disconnect(self, _now: float, disconnected: ClientDisconnected) -> None:
-        """Forget a request whose client has left; its attempts in flight end by themselves."""
+        """Remove a request whose client has disconnected; its attempts in flight end by themselves."""
         request = self.open_requests.pop(disconnected.request_id, None)
         if request is not None:
             request.customer.end_attempts(request.attempts.in_flight)
 
     def handle_stream_start(self, _now: float, started: StreamStarted) -> None:
-        """Note that the client has part of the response: the request may not be sent again."""
+        """Record that the client has received part of the response, so that the request is not retried."""
         request = self.open_requests.get(started.request_id)
         if request is not None:
             request.attempts.mark_streaming()
--- a/limiter/policy/concurrency_limit.py
+++ b/limiter/policy/concurrency_limit.py
@@ -1,8 +1,9 @@
-"""The concurrency limit: attempts in flight that the fleet of servers bears in good time.
+"""The concurrency limit: how many attempts this limiter may have in flight to the fleet of servers.
 
-The fleet's utilization is the mean latency of attempts as a share of what full load is taken to add; each
-limiter holds an even part of the fleet-wide limit, which follows the throttle's update with bounded steps.
-Types: limiter/model. Times are milliseconds.
+The load of the fleet is derived from latency: its utilization is the mean latency of attempts, divided by the
+mean latency at which the fleet counts as fully loaded. At each update the fleet-wide limit is multiplied by
+target / utilization, like the admission probability in `throttle.py`, with a bounded factor. Each limiter
+gets an even share of it. Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from dataclasses import dataclass
@@ -19,69 +20,78 @@
 )
 from limiter.policy.usage_gossip import UsageGossip
 
-# Waiting that counts as full load, as a share of the tightest objective beyond the idle latency; and the
-# same where a limiter sees little of a server's load, since attempts of several limiters meet there by
-# chance.
+# Queueing delay at which the fleet counts as fully loaded, as a fraction of the difference between the
+# shortest latency objective and the idle latency. The second value applies if a limiter observes little of a
+# server's load: attempts of several limiters then coincide at a server by chance, which adds delay.
 FULL_LOAD_QUEUEING_FRACTION = 0.2
 UNOBSERVED_LOAD_QUEUEING_FRACTION = 0.5
 
-# Lowest limit while the fleet is not overloaded: one attempt in flight is ordinary and no sign of load.
+# Minimum limit while the fleet is not overloaded: a single attempt in flight is normal and no sign of load.
 MIN_CONCURRENCY_LIMIT = 2.0
 
-# Lowest limit however much the fleet is overloaded: without any attempt a limiter would not see it recover.
+# Minimum limit at any overload of the fleet: without any attempt a limiter would not notice the recovery.
 MIN_OVERLOADED_CONCURRENCY_LIMIT = 1.0
 
-# Attempts in flight from all limiters together to a server with full capacity: at first, least and most.
+# Limit on the attempts in flight from all limiters to one server at full capacity: initial value and bounds.
 INITIAL_ATTEMPTS_PER_SERVER = 5.0
 MIN_ATTEMPTS_PER_SERVER = 3.0
 MAX_ATTEMPTS_PER_SERVER = 48.0
 
-# Bounds of the factor by which one update changes the attempts per server.
+# Bounds of the factor by which one update changes the limit per server.
 MIN_ADJUSTMENT_FACTOR = 0.7
 MAX_ADJUSTMENT_FACTOR = 1.25
 
-# Completed attempts in one update interval that give its latency a weight of 1 - 1/e (about two thirds).
-# Fewer say less of the load.
-COMPLETED_ATTEMPTS_CONSTANT = 4.0
+# Number of successful attempts in one update interval that gives the interval's mean latency a weight of
+# 1 - 1/e (about two thirds). The mean over fewer attempts is weaker evidence of load and weighs less.
+LATENCY_WEIGHT_ATTEMPTS = 4.0
 
-# Growth of the idle latency in an update: the least mean latency is forgotten slowly.
+# Factor by which the idle latency grows at each update, so that an old minimum expires slowly.
 IDLE_LATENCY_GROWTH_FACTOR = 1.005
 
-# Servers that do not answer, as a share of all, up to which the fault is taken to be theirs. With more of
-# them the fleet is loaded.
+# Maximum fraction of servers without responses for which these servers count as faulty. If more servers do
+# not respond, the fleet counts as loaded.
 MAX_UNRESPONSIVE_SERVERS_FRACTION = 1 / 4
 
-# Least utilization, or limit, that is divided by.
+# Lower bounds of a utilization and of a limit in a divisor.
 MIN_UTILIZATION = 1e-6
 MIN_LIMIT_DIVISOR = 1e-9
 
 
 def unobserved_load_fraction(settings: Settings) -> float:
-    """Return how little of a server's load one limiter sees: 0 if enough, towards 1 in an endless fleet."""
+    """Return the fraction of a server's load that one limiter cannot observe.
+
+    The fraction is 0 with up to `INITIAL_ATTEMPTS_PER_SERVER` limiters, because each of them has enough
+    attempts at a server to observe its load. It approaches 1 as the number of limiters grows.
+    """
     return max(0.0, 1 - INITIAL_ATTEMPTS_PER_SERVER / settings.limiter_count)
 
 
 @dataclass(eq=False)
 class ConcurrencyLimit:
-    """Counts the attempts in flight from here and limits them while the fleet is under pressure.
+    """Counts the attempts in flight from this limiter and limits them while the fleet is loaded.
 
     Attributes:
-        context: What the parts of the policy engine share.
-        server_selector: Knows the servers and the attempts in flight to each.
-        usage_gossip: Knows the load of the other limiters.
-        in_flight: Attempts in flight from here.
-        stalled_attempts: Of these, the attempts that were lost or wait for unresponsive servers, by the last
-            update.
-        max_in_flight: Attempts in flight from here that the fleet answers in good time; 0 until there is an
-            endpoint list.
-        max_attempts_per_server: Attempts in flight from all limiters that a server with full capacity takes.
-        utilization: Moving average of the mean latency beyond idle, as a share of what full load adds.
-        accumulated_attempt_time: Attempts in flight times their duration, summed up since the last update.
-        accumulated_until: Time up to which `busy_time` is summed up.
+        context: State shared by the components of the engine.
+        server_selector: Has the servers and the attempts in flight to each of them.
+        usage_gossip: Has the load that the other limiters report.
+        in_flight: Number of attempts in flight from this limiter.
+        stalled_attempts: How many of these say nothing about the load of the fleet, as of the last update:
+            they are presumed lost or were sent to unresponsive servers.
+        max_in_flight: Limit on the attempts in flight from this limiter; 0 until an endpoint list was
+            received.
+        max_attempts_per_server: Limit on the attempts in flight from all limiters to one server at full
+            capacity.
+        utilization: Moving average of the mean latency of attempts, as a fraction of the mean latency at
+            which the fleet counts as fully loaded.
+        accumulated_attempt_time: Integral of the active attempts over time since the last update, in
+            milliseconds times attempts.
+        accumulated_until: Time up to which `accumulated_attempt_time` is computed.
         updated_at: Time of the last update.
-        successful_attempts: Successful attempts since the last update.
-        smoothed_latency: Moving average of the mean latency; 0 until one was measured.
-        idle_latency: The least mean latency, forgotten slowly; 0 until an attempt has succeeded.
+        successful_attempts: Number of attempts that succeeded since the last update.
+        smoothed_latency: Moving average of the mean latency of attempts from this limiter; 0 before the first
+            measurement.
+        idle_latency: Minimum of the mean latency, which grows slowly at each update; 0 until an attempt has
+            succeeded.
     """
 
     context: EngineContext
@@ -101,48 +111,51 @@
 
     @property
     def active_attempts(self) -> int:
-        """Attempts in flight that servers work on."""
+        """Number of attempts in flight that are not stalled."""
         return max(0, self.in_flight - self.stalled_attempts)
 
     @property
     def has_been_computed(self) -> bool:
-        """Whether the limit was worked out at least once."""
+        """Whether the limit was computed at least once."""
         return self.max_in_flight > 0
 
     def start_measuring(self, now: float) -> None:
-        """Measure from now on: this is the time of the first event."""
+        """Start to measure at the time of the first event."""
         self.updated_at = now
         self.accumulated_until = now
 
     def record_attempt_started(self) -> None:
-        """Count an attempt that is sent from here."""
+        """Count an attempt that this limiter sends."""
         self.in_flight += 1
 
     def record_attempt_ended(self, is_success: bool) -> None:
-        """Count the end of an attempt that was sent from here."""
+        """Count the end of an attempt that this limiter sent."""
         self.in_flight -= 1
         if is_success:
             self.successful_attempts += 1
 
     def advance(self, now: float) -> None:
-        """Measure up to now, and update the limit once in an update interval."""
+        """Accumulate the attempt time up to `now`, and update the limit once per update interval."""
         self.accumulated_attempt_time += self.active_attempts * (now - self.accumulated_until)
         self.accumulated_until = now
         if now - self.updated_at >= UPDATE_INTERVAL_MS:
             self.update(now)
 
     def mean_in_flight(self) -> float:
-        """Return the attempts in flight from here, or from the mean limiter where others gossip theirs."""
+        """Return the number of active attempts, averaged over the limiters if their gossip is needed.
+
+        The average is used if gossip is enabled and this limiter observes only a part of a server's load.
+        """
         if self.usage_gossip.is_enabled and self.server_selector.slow_start.unobserved_load_fraction:
             return self.usage_gossip.peer_load.mean_in_flight(self.active_attempts)
         return self.active_attempts
 
     def admission_probability(self) -> float:
-        """Return the probability with which a request is admitted: 1 up to half the limit, then falling."""
+        """Return the probability of admitting a request: 1 up to half of the limit, then falling linearly."""
         return clamp_probability(2 - 2 * self.mean_in_flight() / max(self.max_in_flight, MIN_LIMIT_DIVISOR))
 
     def update(self, now: float) -> None:
-        """Work out the limit anew, and begin the next interval."""
+        """Recompute the limit, and start the next interval."""
         self.stalled_attempts = self._count_stalled_attempts(now)
         self._update_utilization(now)
         self._update_max_attempts_per_server()
@@ -161,9 +174,9 @@
         self.accumulated_attempt_time = 0.0
 
     def _update_max_attempts_per_server(self) -> None:
-        """Multiply the attempts per server by target / utilization, within bounds.
+        """Multiply the limit per server by target / utilization, within bounds.
 
-        They rise only while the limit is made use of.
+        It is raised only while more than half of the limit is in use.
         """
         target_ratio = TARGET_UTILIZATION / max(self.utilization, MIN_UTILIZATION)
         factor = clamp(target_ratio, MIN_ADJUSTMENT_FACTOR, MAX_ADJUSTMENT_FACTOR)
@@ -174,31 +187,36 @@
             )
 
     def _count_stalled_attempts(self, now: float) -> int:
-        """Return how many of the attempts in flight say nothing of the fleet's load.
+        """Return how many of the attempts in flight say nothing about the load of the fleet.
 
-        These are the attempts that were overtaken, and those at unresponsive servers unless such servers are
-        many.
+        These are the attempts that are presumed lost. The attempts at unresponsive servers count as well,
+        unless the fraction of such servers exceeds `MAX_UNRESPONSIVE_SERVERS_FRACTION`.
         """
         if not self.in_flight:
             return 0
         servers = self.server_selector.table.by_id.values()
-        busy = [server.attempts_in_flight for server in servers if server.attempts_in_flight is not None]
+        attempts_by_server = [
+            server.attempts_in_flight for server in servers if server.attempts_in_flight is not None
+        ]
         sent_before = now - self.context.min_latency_objective
-        stalled = sum(attempts.count_presumed_lost(sent_before) for attempts in busy)
-        unresponsive = [attempts for attempts in busy if attempts.unanswered_since() < sent_before]
+        stalled_count = sum(attempts.count_presumed_lost(sent_before) for attempts in attempts_by_server)
+        unresponsive = [
+            attempts for attempts in attempts_by_server if attempts.unanswered_since() < sent_before
+        ]
         if len(unresponsive) <= MAX_UNRESPONSIVE_SERVERS_FRACTION * len(servers):
             for attempts in unresponsive:
-                stalled += len(attempts.sent_at) - attempts.count_presumed_lost(sent_before)
-        return stalled
+                stalled_count += len(attempts.sent_at) - attempts.count_presumed_lost(sent_before)
+        return stalled_count
 
     def _update_utilization(self, now: float) -> None:
-        """Take the mean latency since the last update into the utilization.
+        """Update the utilization with the mean latency since the last update.
 
-        By Little's law the mean latency is the busy time over the number of attempts completed.
+        By Little's law, the mean latency is the accumulated attempt time divided by the number of attempts
+        that have succeeded.
         """
         attempt_count = max(self.successful_attempts, 1)
         interval_latency = self.accumulated_attempt_time / attempt_count
-        weight = newest_sample_weight(attempt_count, COMPLETED_ATTEMPTS_CONSTANT)
+        weight = newest_sample_weight(attempt_count, LATENCY_WEIGHT_ATTEMPTS)
         self.smoothed_latency = update_or_start_ewma(self.smoothed_latency, interval_latency, weight)
         average_latency = self.smoothed_latency
         unobserved_fraction = self.server_selector.slow_start.unobserved_load_fraction
@@ -206,7 +224,7 @@
             peer_load = self.usage_gossip.peer_load
             peer_load.decay(now)
             weight = newest_sample_weight(
-                attempt_count * (1 + peer_load.message_weight), COMPLETED_ATTEMPTS_CONSTANT
+                attempt_count * (1 + peer_load.message_weight), LATENCY_WEIGHT_ATTEMPTS
             )
             interval_latency = peer_load.mean_latency(interval_latency)
             average_latency = peer_load.mean_latency(average_latency)
@@ -221,7 +239,11 @@
         )
 
     def _compute_full_load_latency(self, unobserved_fraction: float) -> float:
-        """Return the mean latency at which the fleet counts as fully loaded."""
+        """Return the mean latency at which the fleet counts as fully loaded.
+
+        Args:
+            unobserved_fraction: Fraction of a server's load that this limiter cannot observe.
+        """
         objective = self.context.min_latency_objective
         queueing_fraction = FULL_LOAD_QUEUEING_FRACTION + unobserved_fraction * (
             UNOBSERVED_LOAD_QUEUEING_FRACTION - FULL_LOAD_QUEUEING_FRACTION
--- a/limiter/policy/open_request.py
+++ b/limiter/policy/open_request.py
@@ -55,7 +55,7 @@
         """Count the end of an attempt."""
         self.in_flight -= 1
 
-    def mark_never_ran(self, number: int) -> None:
+    def mark_not_executed(self, number: int) -> None:
         """Note that the attempt with this number did not run."""
         if self.first_attempt is not None and self.first_attempt.number == number:
             self.first_attempt = None
