--- a/limiter/policy/context.py
+++ b/limiter/policy/context.py
@@ -1,6 +1,6 @@
-"""What the parts of a policy engine share: settings, random numbers, and the actions of the event in hand.
+"""State shared by the components of a policy engine: settings, random numbers and pending actions.
 
-Types: limiter/model. Times are milliseconds.
+Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from limiter.model.actions import Action, SetTimer
 from limiter.model.settings import Settings
 
-# Start time of an engine before its first event: earlier than every time of the clock.
+# Start time of an engine before its first event; earlier than every time of the clock.
 NOT_STARTED = -1.0
 
 
@@ -25,24 +25,24 @@
 
 
 class EngineContext:
-    """Shared by the parts of one policy engine.
+    """State shared by the components of one policy engine.
 
     Attributes:
-        settings: What the limiter decides by.
-        random: The source of every random draw.
-        actions: What the event in hand leads to, in order.
-        started_at: Time of the first event; below 0 before it.
-        min_latency_objective: The shortest latency objective of a request class.
+        settings: Settings of the limiter.
+        random: Generator of all random numbers.
+        actions: Actions that result from the current event, in the order in which they are carried out.
+        started_at: Time of the first event; negative before it.
+        min_latency_objective: Shortest latency objective of all request classes.
     """
 
     __slots__ = ("actions", "min_latency_objective", "random", "settings", "started_at")
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start without an event.
+        """Create the state of an engine that has not handled an event.
 
         Args:
-            settings: What the limiter decides by.
-            seed: Decides every random draw.
+            settings: Settings of the limiter.
+            seed: Seed of the random number generator.
         """
         self.settings = settings
         self.random = Random(seed)
@@ -51,15 +51,15 @@
         self.min_latency_objective = min(each.latency_objective for each in settings.request_classes)
 
     def start(self, now: float) -> None:
-        """Note the time of the first event."""
+        """Record the time of the first event."""
         self.started_at = now
 
     def set_timer(self, delay: float, timer: TimerToken) -> None:
-        """Ask for TimerFired with this token after the delay."""
+        """Request a TimerFired event with this token after the delay."""
         self.actions.append(SetTimer(delay, timer))
 
     def take_actions(self) -> list[Action]:
-        """Return the actions of the event in hand, and begin with none for the next."""
+        """Return the actions of the current event, and clear them for the next one."""
         actions = self.actions
         self.actions = []
         return actions
--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -1,7 +1,7 @@
-"""The policy engine: hands each event to the part that it concerns, and gathers the actions that follow.
+"""The policy engine: dispatches each event to the component that handles it, and returns the actions.
 
-Types: limiter/model. Times are milliseconds. The ordinary path is the loss-based control of Rogowski and
-Tarasiuk, end to end: see docs/design.md.
+In normal operation, admission follows the loss-based overload control of Rogowski and Tarasiuk; see
+docs/design.md. Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -29,17 +29,20 @@
 
 
 class PolicyEngine:
-    """Every decision of one limiter, without I/O: the clock and the seed are handed in."""
+    """Makes all decisions of one limiter.
+
+    It performs no I/O. The caller provides the time of each event and the random seed.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Build the parts of the engine.
+        """Create the components of the engine.
 
         Args:
-            settings: What the limiter decides by.
-            seed: Decides every random draw.
+            settings: Settings of the limiter.
+            seed: Seed of the random number generator.
 
         Raises:
-            SettingsError: The settings cannot be used.
+            SettingsError: The settings are invalid.
         """
         validate_settings(settings)
         context = self.context = EngineContext(settings, seed)
@@ -76,14 +79,14 @@
         )
 
     def handle(self, now: float, event: events.Event) -> list[Action]:  # noqa: C901 - one case for each event
-        """Decide what an event leads to.
+        """Handle an event.
 
         Args:
-            now: Time of the event, by a clock that never goes back.
-            event: What happened.
+            now: Time of the event, from a monotonic clock.
+            event: The event.
 
         Returns:
-            The actions to carry out, in this order.
+            The actions to carry out, in order.
         """
         if not self._is_started:
             self._start(now)
@@ -109,13 +112,13 @@
             case events.DiscoveryPollFailed():
                 self.discovery_backoff.handle_poll_failure(now, event)
             case events.HealthCheckEnded():
-                pass  # no health check is ever sent
+                pass  # The engine sends no health checks.
             case _:
                 assert_never(event)
         return self.context.take_actions()
 
     def _start(self, now: float) -> None:
-        """Begin with the first event."""
+        """Start the components that need the time of the first event, and discovery."""
         self._is_started = True
         self.context.start(now)
         self.concurrency_limit.start_measuring(now)
--- a/limiter/policy/held_requests.py
+++ b/limiter/policy/held_requests.py
@@ -1,4 +1,7 @@
-"""Requests that are held until the counter has replied. Types: limiter/model. Times are milliseconds."""
+"""Requests that are held until the counter replies.
+
+Types are defined in limiter/model. Times are in milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +12,15 @@
 from limiter.policy.open_request import OpenRequest
 from limiter.policy.usage_sampling import UsageSampler
 
-# Time by which a round of housekeeping may come late after the counter's time-out.
+# A customer with held requests is checked this long after the counter timeout. The check may be late by up
+# to the same time.
 HOUSEKEEPING_MARGIN_MS = 50.0
 
 
 class HeldRequests:
-    """The requests that wait for a call in flight, by customer.
+    """The requests that wait for a counter call in flight, by customer.
 
-    As long as requests of a customer are held, a call of that customer is in flight.
+    While requests of a customer are held, a counter call for that customer is in flight.
     """
 
     def __init__(
@@ -26,25 +30,26 @@
         attempt_dispatcher: AttemptDispatcher,
         housekeeping: CustomerHousekeeping,
     ) -> None:
-        """Start without held requests.
+        """Create an empty collection.
 
         Args:
-            context: What the parts of the engine share.
+            context: State shared by the components of the engine.
             usage_sampler: Makes the calls to the counter.
-            attempt_dispatcher: The open requests, held ones among them.
-            housekeeping: Releases requests whose reply never comes.
+            attempt_dispatcher: Has the open requests, including the held ones.
+            housekeeping: Schedules the check that ends the hold if no reply arrives.
         """
         self._usage_sampler = usage_sampler
         self._attempt_dispatcher = attempt_dispatcher
         self._housekeeping = housekeeping
-        self._requests_by_customer: dict[int, list[OpenRequest]] = {}  # The key is the customer's.
+        self._requests_by_customer: dict[int, list[OpenRequest]] = {}  # by customer key
         self._counter_timeout = context.settings.counter_timeout
 
     def hold(self, now: float, request: OpenRequest) -> bool:
-        """Hold a request for the call in flight that others wait for, or make a call for it.
+        """Hold a request for the call in flight that held requests of its customer wait for, or make a call.
 
         Returns:
-            Whether it is held; False where no call can be made, or its client would give up first.
+            Whether the request is held; False if no call can be made, or if the client might stop waiting
+            before the hold ends.
         """
         customer = request.customer
         recheck_delay = self._counter_timeout + HOUSEKEEPING_MARGIN_MS
@@ -62,19 +67,22 @@
         return not customer.report.is_call_in_flight and self._usage_sampler.call_counter(now, customer)
 
     def has_requests(self, customer: Customer) -> bool:
-        """Whether requests of the customer are held."""
+        """Return whether requests of the customer are held."""
         return customer.key in self._requests_by_customer
 
     def is_call_overdue(self, now: float, customer: Customer) -> bool:
-        """Whether the customer's last call should have ended by now."""
+        """Return whether the customer's last counter call should have timed out by now."""
         call_duration = now - customer.report.call_started_at
         return call_duration > self._counter_timeout + HOUSEKEEPING_MARGIN_MS / 2
 
     def schedule_recheck(self, now: float, customer: Customer) -> None:
-        """Look at a customer with held requests again once its call should have ended."""
+        """Schedule another check of a customer with held requests for when its counter call has timed out."""
         self._housekeeping.schedule(now, self._counter_timeout + HOUSEKEEPING_MARGIN_MS, customer)
 
     def take_requests(self, customer: Customer) -> list[OpenRequest]:
-        """Take out the customer's requests, in the order in which they came; clients may have left."""
+        """Remove and return the customer's held requests, in order of arrival.
+
+        Clients of some of them may have disconnected.
+        """
         customer.report.release_reservation()
         return self._requests_by_customer.pop(customer.key, [])
--- a/limiter/policy/idle_eviction.py
+++ b/limiter/policy/idle_eviction.py
@@ -1,4 +1,4 @@
-"""Eviction of records that have been idle, a few at a time. It uses none of the types in limiter/model."""
+"""Incremental eviction of idle records. This module uses no types of limiter/model."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 
 Record = TypeVar("Record")
 
-# Records taken out in one call: called for each record that is put in, this outpaces them.
+# Maximum number of records evicted per call. As `pop_idle` is called once for each record that is added, a
+# value above 1 evicts records faster than they are added.
 MAX_EVICTED_PER_CALL = 2
 
 
 def pop_idle(records: dict[int, Record], is_idle: Callable[[Record], bool]) -> list[tuple[int, Record]]:
-    """Take out the first records that are idle, MAX_EVICTED_PER_CALL at most.
+    """Remove and return the longest idle records, at most `MAX_EVICTED_PER_CALL` of them.
 
     Args:
-        records: The records by key, the longest idle first; at least one of them is not idle.
-        is_idle: Tells whether a record is idle.
+        records: The records by key, ordered from the longest idle; at least one of them must not be idle.
+        is_idle: Returns whether a record is idle.
 
     Returns:
-        The records that were taken out, with their keys.
+        The removed records with their keys.
     """
     popped: list[tuple[int, Record]] = []
     while len(popped) < MAX_EVICTED_PER_CALL and is_idle(records[key := next(iter(records))]):
--- a/limiter/policy/local_share.py
+++ b/limiter/policy/local_share.py
@@ -1,6 +1,6 @@
-"""This limiter's even parts of a customer's quota, which hold whatever is known of the other limiters.
+"""This limiter's even share of a customer's quota, which applies whatever the other limiters use.
 
-Types: limiter/model. Times are milliseconds.
+Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -9,25 +9,25 @@
 
 from limiter.model.settings import QuotaPlan
 
-# Units that the fallback bucket holds: one request, since many limiters without samples must not admit a
-# flood together.
+# Capacity of the fallback bucket in units. It allows one request, so that many limiters without samples do
+# not admit a burst together.
 MAX_FALLBACK_TOKENS = 1.0
 
 
 @dataclass(slots=True, eq=False)
 class LocalShare:
-    """Two token buckets of one customer that fill with this limiter's even part.
+    """Two token buckets of one customer that are filled at this limiter's even share of the rates.
 
     Attributes:
-        ceiling_tokens: Units left of this limiter's part of the ceiling.
-        fallback_tokens: Units saved up of this limiter's part of the rate. They decide where no sample does.
+        ceiling_tokens: Units in the bucket of the ceiling.
+        fallback_tokens: Units in the bucket of the rate quota, which limits admission without a sample.
     """
 
     ceiling_tokens: float
     fallback_tokens: float = MAX_FALLBACK_TOKENS
 
     def refill(self, elapsed: float, plan: QuotaPlan, limiter_set_size: float) -> None:
-        """Fill both buckets for `elapsed` milliseconds."""
+        """Refill both buckets for `elapsed` milliseconds."""
         ceiling_refill = plan.ceiling_rate / 1000 / limiter_set_size * elapsed
         ceiling_capacity = plan.ceiling_burst / limiter_set_size
         self.ceiling_tokens = min(ceiling_capacity, self.ceiling_tokens + ceiling_refill)
@@ -35,10 +35,13 @@
         self.fallback_tokens = min(MAX_FALLBACK_TOKENS, refilled)
 
     def consume(self, units: float) -> None:
-        """Take the units of a request that is forwarded from here."""
+        """Remove the units of a request that this limiter forwards."""
         self.ceiling_tokens -= units
         self.fallback_tokens = max(0.0, self.fallback_tokens - units)
 
     def change_plan(self, plan: QuotaPlan, limiter_set_size: float) -> None:
-        """Go on under another plan or in another set of limiters; what the ceiling left is kept."""
+        """Apply another plan or size of the limiter set, and keep the remaining units of the ceiling.
+
+        The units are cut to the capacity of the new ceiling bucket.
+        """
         self.ceiling_tokens = min(self.ceiling_tokens, plan.ceiling_burst / limiter_set_size)
--- a/limiter/policy/open_request.py
+++ b/limiter/policy/open_request.py
@@ -1,4 +1,7 @@
-"""A client's request as the policy knows it. Types: limiter/model. Times are milliseconds."""
+"""The state of an open client request and its attempts.
+
+Types are defined in limiter/model. Times are in milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +15,12 @@
 
 @dataclass(slots=True)
 class FirstAttempt:
-    """The earliest attempt of a request that may have run.
+    """The earliest attempt of a request that a server may have executed.
 
     Attributes:
-        number: Its number among the attempts of the request.
-        endpoint: The server that it was sent to.
-        sent_at: When it was sent.
+        number: Number of the attempt; the attempts of a request are numbered from 0 in the order of sending.
+        endpoint: Endpoint of the server to which it was sent.
+        sent_at: Time at which it was sent.
     """
 
     number: int
@@ -30,11 +33,11 @@
     """The attempts of one request.
 
     Attributes:
-        sent_count: Attempts that were sent so far.
-        in_flight: Those of them that have not ended.
-        first_attempt: The earliest attempt that may have run; None while no attempt can have run.
-        tried_endpoint_ids: Ids of the servers that attempts were sent to.
-        is_streaming: Whether the client has got part of a response.
+        sent_count: Number of attempts sent.
+        in_flight: Number of attempts that have not ended.
+        first_attempt: The earliest attempt that a server may have executed; None if there is no such attempt.
+        tried_endpoint_ids: Ids of the servers to which attempts were sent.
+        is_streaming: Whether the client has received part of a response.
     """
 
     sent_count: int = 0
@@ -44,7 +47,7 @@
     is_streaming: bool = False
 
     def record_sent(self, now: float, endpoint: Endpoint) -> None:
-        """Count an attempt that is sent to the server at this endpoint now."""
+        """Record an attempt that is sent to the server at this endpoint now."""
         if self.first_attempt is None:
             self.first_attempt = FirstAttempt(self.sent_count, endpoint, now)
         self.tried_endpoint_ids.add(endpoint.id)
@@ -52,30 +55,30 @@
         self.in_flight += 1
 
     def record_ended(self) -> None:
-        """Count the end of an attempt."""
+        """Record the end of an attempt."""
         self.in_flight -= 1
 
     def mark_not_executed(self, number: int) -> None:
-        """Note that the attempt with this number did not run."""
+        """Record that the server did not execute the attempt with this number."""
         if self.first_attempt is not None and self.first_attempt.number == number:
             self.first_attempt = None
 
     def mark_streaming(self) -> None:
-        """Note that the client has got part of a response."""
+        """Record that the client has received part of a response."""
         self.is_streaming = True
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A client's request until its final response is out and no attempt is in flight.
+    """A client's request, from its arrival to its final response.
 
     Attributes:
         request: The request as it arrived.
-        request_class: Its class in the settings.
-        customer: The customer who sent it.
-        response_deadline: A response that is later than this is of no use.
-        admission: What admission noted.
-        attempts: The attempts that were sent.
+        request_class: Class of the request, from the settings.
+        customer: The customer that sent the request.
+        response_deadline: Time after which a response has no value.
+        admission: Admission state of the request.
+        attempts: Attempts of the request.
     """
 
     request: ClientRequest
@@ -86,11 +89,11 @@
     attempts: RequestAttempts = field(default_factory=RequestAttempts)
 
     def start_attempt(self, now: float, endpoint: Endpoint) -> None:
-        """Count an attempt that is sent to the server at this endpoint now."""
+        """Record an attempt that is sent to the server at this endpoint now, also for the customer."""
         self.attempts.record_sent(now, endpoint)
         self.customer.start_attempt()
 
     def end_attempt(self) -> None:
-        """Count the end of an attempt."""
+        """Record the end of an attempt, also for the customer."""
         self.attempts.record_ended()
         self.customer.end_attempts(1)
