--- a/limiter/policy/context.py
+++ b/limiter/policy/context.py
@@ -12,7 +12,7 @@
 from limiter.model.settings import Settings
 
 # Start time of an engine before its first event; earlier than every time of the clock.
-NOT_STARTED = -1.0
+NOT_STARTED_TIME_MS = -1.0
 
 
 class TimerToken(IntEnum):
@@ -47,16 +47,16 @@
         self.settings = settings
         self.random = Random(seed)
         self.actions: list[Action] = []
-        self.started_at = NOT_STARTED
+        self.started_at = NOT_STARTED_TIME_MS
         self.min_latency_objective = min(each.latency_objective for each in settings.request_classes)
 
-    def start(self, now: float) -> None:
+    def record_start_time(self, now: float) -> None:
         """Record the time of the first event."""
         self.started_at = now
 
-    def set_timer(self, delay: float, timer: TimerToken) -> None:
+    def set_timer(self, delay: float, token: TimerToken) -> None:
         """Request a TimerFired event with this token after the delay."""
-        self.actions.append(SetTimer(delay, timer))
+        self.actions.append(SetTimer(delay, token))
 
     def take_actions(self) -> list[Action]:
         """Return the actions of the current event, and clear them for the next one."""
--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -120,7 +120,7 @@
     def _start(self, now: float) -> None:
         """Start the components that need the time of the first event, and discovery."""
         self._is_started = True
-        self.context.start(now)
+        self.context.record_start_time(now)
         self.concurrency_limit.start_measuring(now)
         self.discovery_backoff.start()
 
--- a/limiter/policy/held_requests.py
+++ b/limiter/policy/held_requests.py
@@ -45,7 +45,7 @@
         self._counter_timeout = context.settings.counter_timeout
 
     def hold(self, now: float, request: OpenRequest) -> bool:
-        """Hold a request for the call in flight that held requests of its customer wait for, or make a call.
+        """Hold a request for its customer's counter call; make the call unless held requests wait for one.
 
         Returns:
             Whether the request is held; False if no call can be made, or if the client might stop waiting
@@ -76,7 +76,7 @@
         return call_duration > self._counter_timeout + HOUSEKEEPING_MARGIN_MS / 2
 
     def schedule_recheck(self, now: float, customer: Customer) -> None:
-        """Schedule another check of a customer with held requests for when its counter call has timed out."""
+        """Schedule a check of a customer with held requests after its counter call should have timed out."""
         self._housekeeping.schedule(now, self._counter_timeout + HOUSEKEEPING_MARGIN_MS, customer)
 
     def take_requests(self, customer: Customer) -> list[OpenRequest]:
--- a/limiter/policy/local_share.py
+++ b/limiter/policy/local_share.py
@@ -1,4 +1,4 @@
-"""This limiter's even share of a customer's quota, which applies whatever the other limiters use.
+"""This limiter's even share of a customer's quota, which applies even if nothing is known of other limiters.
 
 Types are defined in limiter/model. Times are in milliseconds.
 """
@@ -20,7 +20,7 @@
 
     Attributes:
         ceiling_tokens: Units in the bucket of the ceiling.
-        fallback_tokens: Units in the bucket of the rate quota, which limits admission without a sample.
+        fallback_tokens: Units in the bucket of the rate quota, which limits admission if there is no sample.
     """
 
     ceiling_tokens: float
@@ -40,8 +40,5 @@
         self.fallback_tokens = max(0.0, self.fallback_tokens - units)
 
     def change_plan(self, plan: QuotaPlan, limiter_set_size: float) -> None:
-        """Apply another plan or size of the limiter set, and keep the remaining units of the ceiling.
-
-        The units are cut to the capacity of the new ceiling bucket.
-        """
+        """Apply a new plan or limiter set size; keep the ceiling's units, up to its new bucket capacity."""
         self.ceiling_tokens = min(self.ceiling_tokens, plan.ceiling_burst / limiter_set_size)
