--- a/limiter/policy/engine.py
+++ b/limiter/policy/engine.py
@@ -1,7 +1,7 @@
-"""The policy engine: hands each event to the part that it concerns, and gathers the actions that follow.
+"""The policy engine: dispatches each event to the component that handles it, and returns the actions.
 
-Types: limiter/model. Times are milliseconds. The ordinary path is the loss-based control of Rogowski and
-Tarasiuk, end to end: see docs/design.md.
+In normal operation, admission follows the loss-based overload control of Rogowski and Tarasiuk; see
+docs/design.md. Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -29,17 +29,20 @@
 
 
 class PolicyEngine:
-    """Every decision of one limiter, without I/O: the clock and the seed are handed in."""
+    """Makes all decisions of one limiter.
+
+    It performs no I/O. The caller provides the time of each event and the random seed.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Build the parts of the engine.
+        """Create the components of the engine.
 
         Args:
-            settings: What the limiter decides by.
-            seed: Decides every random draw.
+            settings: Settings of the limiter.
+            seed: Seed of the random number generator.
 
         Raises:
-            SettingsError: The settings cannot be used.
+            SettingsError: The settings are invalid.
         """
         validate_settings(settings)
         context = self.context = EngineContext(settings, seed)
@@ -54,36 +57,36 @@
             context, self.customers, self.server_selector, self.concurrency_limit, self.usage_gossip
         )
         self.usage_sampler = UsageSampler(context, self.customers, self.usage_gossip)
-        self.admission = self._make_admission(context)
+        self.admission = self._create_admission_controller(context)
         self.discovery_backoff = DiscoveryBackoff(
             context, self.server_selector.table, self.usage_gossip.is_enabled
         )
 
-    def _make_admission(self, context: EngineContext) -> AdmissionController:
+    def _create_admission_controller(self, context: EngineContext) -> AdmissionController:
         housekeeping = CustomerHousekeeping(context)
         return AdmissionController(
             context=context,
             customers=self.customers,
             usage_sampler=self.usage_sampler,
             usage_gossip=self.usage_gossip,
-            rules=AdmissionRules(
+            admission_rules=AdmissionRules(
                 context, self.customers, self.usage_gossip, self.outlier_detector, self.concurrency_limit
             ),
             attempt_dispatcher=self.attempt_dispatcher,
             held_requests=HeldRequests(context, self.usage_sampler, self.attempt_dispatcher, housekeeping),
-            reporter=UsageReporter(self.usage_sampler, housekeeping),
+            usage_reporter=UsageReporter(self.usage_sampler, housekeeping),
             housekeeping=housekeeping,
         )
 
     def handle(self, now: float, event: events.Event) -> list[Action]:  # noqa: C901 - one case for each event
-        """Decide what an event leads to.
+        """Handle an event.
 
         Args:
-            now: Time of the event, by a clock that never goes back.
-            event: What happened.
+            now: Time of the event, from a monotonic clock.
+            event: The event.
 
         Returns:
-            The actions to carry out, in this order.
+            The actions to carry out, in order.
         """
         if not self._is_started:
             self._start(now)
@@ -109,16 +112,16 @@
             case events.DiscoveryPollFailed():
                 self.discovery_backoff.handle_poll_failure(now, event)
             case events.HealthCheckEnded():
-                pass  # no health check is ever sent
+                pass  # The engine sends no health checks.
             case _:
                 assert_never(event)
         return self.context.take_actions()
 
     def _start(self, now: float) -> None:
-        """Begin with the first event."""
+        """Start the components that need the time of the first event, and discovery."""
         self._is_started = True
-        self.context.start(now)
-        self.concurrency_limit.start(now)
+        self.context.record_start_time(now)
+        self.concurrency_limit.start_measuring(now)
         self.discovery_backoff.start()
 
     def _handle_timer(self, now: float, fired: events.TimerFired) -> None:
@@ -128,7 +131,9 @@
             case TimerToken.DISCOVERY_POLL:
                 self.discovery_backoff.handle_poll_timer()
             case TimerToken.USAGE_GOSSIP if self.usage_gossip.is_enabled:
-                self.usage_gossip.send(self.concurrency_limit.working, self.concurrency_limit.latency)
+                self.usage_gossip.send(
+                    self.concurrency_limit.active_attempts, self.concurrency_limit.smoothed_latency
+                )
                 if self.concurrency_limit.in_flight or self.usage_gossip.has_unsent_units:
                     self.usage_gossip.schedule()
             case TimerToken.DISCOVERY_GOSSIP:
@@ -143,5 +148,5 @@
         has_change = change.is_full_list or bool(change.endpoints)
         if has_change:
             self.server_selector.update_endpoints(change)
-            if not self.concurrency_limit.is_known:
+            if not self.concurrency_limit.has_been_computed:
                 self.concurrency_limit.update(now)
--- a/limiter/policy/held_requests.py
+++ b/limiter/policy/held_requests.py
@@ -1,4 +1,7 @@
-"""Requests that are held until the counter has replied. Types: limiter/model. Times are milliseconds."""
+"""Requests that are held until the counter replies.
+
+Types are defined in limiter/model. Times are in milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -9,72 +12,77 @@
 from limiter.policy.open_request import OpenRequest
 from limiter.policy.usage_sampling import UsageSampler
 
-# Time by which a round of housekeeping may come late after the counter's time-out.
+# A customer with held requests is checked this long after the counter timeout. The check may be late by up
+# to the same time.
 HOUSEKEEPING_MARGIN_MS = 50.0
 
 
 class HeldRequests:
-    """The requests that wait for a call in flight, by customer.
+    """The requests that wait for a counter call in flight, by customer.
 
-    As long as requests of a customer are held, a call of that customer is in flight.
+    While requests of a customer are held, a counter call for that customer is in flight.
     """
 
     def __init__(
         self,
         context: EngineContext,
-        sampler: UsageSampler,
-        attempts: AttemptDispatcher,
+        usage_sampler: UsageSampler,
+        attempt_dispatcher: AttemptDispatcher,
         housekeeping: CustomerHousekeeping,
     ) -> None:
-        """Start without held requests.
+        """Create an empty collection.
 
         Args:
-            context: What the parts of the engine share.
-            sampler: Makes the calls to the counter.
-            attempts: The open requests, held ones among them.
-            housekeeping: Releases requests whose reply never comes.
+            context: State shared by the components of the engine.
+            usage_sampler: Makes the calls to the counter.
+            attempt_dispatcher: Has the open requests, including the held ones.
+            housekeeping: Schedules the check that ends the hold if no reply arrives.
         """
-        self._sampler = sampler
-        self._attempts = attempts
+        self._usage_sampler = usage_sampler
+        self._attempt_dispatcher = attempt_dispatcher
         self._housekeeping = housekeeping
-        self._held: dict[int, list[OpenRequest]] = {}  # The key is the customer's.
+        self._requests_by_customer: dict[int, list[OpenRequest]] = {}  # by customer key
         self._counter_timeout = context.settings.counter_timeout
 
     def hold(self, now: float, request: OpenRequest) -> bool:
-        """Hold a request for the call in flight that others wait for, or make a call for it.
+        """Hold a request for its customer's counter call; make the call unless held requests wait for one.
 
         Returns:
-            Whether it is held; False where no call can be made, or its client would give up first.
+            Whether the request is held; False if no call can be made, or if the client might stop waiting
+            before the hold ends.
         """
         customer = request.customer
-        release_after = self._counter_timeout + HOUSEKEEPING_MARGIN_MS
-        if request.request.expires_at - now <= release_after + HOUSEKEEPING_MARGIN_MS:
+        recheck_delay = self._counter_timeout + HOUSEKEEPING_MARGIN_MS
+        if request.request.expires_at - now <= recheck_delay + HOUSEKEEPING_MARGIN_MS:
             return False
-        if customer.key not in self._held and not self._call(now, customer):
+        if customer.key not in self._requests_by_customer and not self._start_counter_call(now, customer):
             return False
         customer.report.reserve(request.admission.reserved_units)
-        self._attempts.open(request)
-        self._held.setdefault(customer.key, []).append(request)
-        self._housekeeping.schedule(now, release_after, customer)
+        self._attempt_dispatcher.add_open_request(request)
+        self._requests_by_customer.setdefault(customer.key, []).append(request)
+        self._housekeeping.schedule(now, recheck_delay, customer)
         return True
 
-    def _call(self, now: float, customer: Customer) -> bool:
-        return not customer.report.is_call_in_flight and self._sampler.call_counter(now, customer)
+    def _start_counter_call(self, now: float, customer: Customer) -> bool:
+        return not customer.report.is_call_in_flight and self._usage_sampler.call_counter(now, customer)
 
-    def has(self, customer: Customer) -> bool:
-        """Whether requests of the customer are held."""
-        return customer.key in self._held
+    def has_requests(self, customer: Customer) -> bool:
+        """Return whether requests of the customer are held."""
+        return customer.key in self._requests_by_customer
 
-    def is_overdue(self, now: float, customer: Customer) -> bool:
-        """Whether the customer's last call should have ended by now."""
-        waited = now - customer.report.call_started_at
-        return waited > self._counter_timeout + HOUSEKEEPING_MARGIN_MS / 2
+    def is_call_overdue(self, now: float, customer: Customer) -> bool:
+        """Return whether the customer's last counter call should have timed out by now."""
+        call_duration = now - customer.report.call_started_at
+        return call_duration > self._counter_timeout + HOUSEKEEPING_MARGIN_MS / 2
 
     def schedule_recheck(self, now: float, customer: Customer) -> None:
-        """Look at a customer with held requests again once its call should have ended."""
+        """Schedule a check of a customer with held requests after its counter call should have timed out."""
         self._housekeeping.schedule(now, self._counter_timeout + HOUSEKEEPING_MARGIN_MS, customer)
 
-    def take(self, customer: Customer) -> list[OpenRequest]:
-        """Take out the customer's requests, in the order in which they came; clients may have left."""
+    def take_requests(self, customer: Customer) -> list[OpenRequest]:
+        """Remove and return the customer's held requests, in order of arrival.
+
+        Clients of some of them may have disconnected.
+        """
         customer.report.release_reservation()
-        return self._held.pop(customer.key, [])
+        return self._requests_by_customer.pop(customer.key, [])
