--- a/limiter/policy/outlier_detection.py
+++ b/limiter/policy/outlier_detection.py
@@ -1,8 +1,9 @@
-"""Outlier detection: the health of each server by the outcomes of its attempts, its ejection and recovery.
+"""Outlier detection: tracks the health of each server, ejects failing servers and readmits recovered ones.
 
-A server that fails too often is ejected: no attempt is sent to it for a while. Then one probe attempt decides
-whether the ejection ends or begins anew, twice as long (the half-open state of a circuit breaker). A server
-that rejects attempts is paused. Types: limiter/model. All times and durations are milliseconds.
+A server whose failure rate is too high is ejected: it receives no attempts until the ejection period is over.
+Then one probe attempt decides whether the ejection ends or starts again with twice the duration, as in the
+half-open state of a circuit breaker. A server that rejects attempts is paused. Event types are defined in
+limiter/model. All times and durations are in milliseconds.
 """
 
 from __future__ import annotations
@@ -14,69 +15,70 @@
 from limiter.policy.smoothing import decay_factor, update_ewma, update_or_start_ewma
 from limiter.policy.throttle import SAMPLE_INTERVAL_MS
 
-# Weight of the newest outcome in a server's own latency and failure rate.
+# EWMA weight of the newest outcome in the latency and failure rate of one server.
 OUTCOME_WEIGHT = 0.2
 
-# Weight of the newest latency in the mean of the fleet, which has more samples.
+# EWMA weight of the newest latency in the fleet's mean latency; lower, since the fleet has more samples.
 FLEET_LATENCY_WEIGHT = OUTCOME_WEIGHT / 4
 
-# Time constant with which the record of a server fades towards the mean of the fleet while nothing is
-# heard of the server. A server that was left out for bad latency would otherwise stay unused long after
-# its recovery.
-RECORD_AGEING_MS = 3000.0
+# Time constant with which a server's health statistics decay towards the fleet's mean while the server
+# reports no outcome. Without the decay, a server avoided for high latency would stay unused long after it
+# has recovered.
+HEALTH_DECAY_TIME_MS = 3000.0
 
-# A record that is older than this when the next outcome comes is aged before that outcome is added.
-STALE_RECORD_MS = 1000.0
+# If the last outcome is older than this when the next one arrives, the statistics decay before it is added.
+STALE_HEALTH_AGE_MS = 1000.0
 
-# First and longest pause of a server that rejects attempts. A pause is twice as long as the one before
-# while no attempt succeeds: a server that drains rejects all.
+# First and longest pause of a server that rejects attempts. Each pause is twice as long as the previous one
+# until an attempt succeeds, because a draining server rejects every attempt.
 FIRST_PAUSE_MS = SAMPLE_INTERVAL_MS
 MAX_PAUSE_MS = 16 * SAMPLE_INTERVAL_MS
 
-# Failure rate above which a server is ejected. Ejection guards against servers that fail fast; a lower rate
-# would eject servers that fail by bad luck.
+# Failure rate above which a server is ejected. Ejection protects against servers that fail fast; a lower
+# threshold would eject servers because of a few random failures.
 EJECTION_FAILURE_RATE = 0.5
 
-# First and longest ejection. Each is twice as long as the one before; a probe that succeeds ends it, so
-# that a recovery is noticed soon.
+# First and longest ejection. Each ejection is twice as long as the previous one. A successful probe ends the
+# ejection, so that a recovered server is used again soon.
 FIRST_EJECTION_MS = 1000.0
 MAX_EJECTION_MS = 8 * FIRST_EJECTION_MS
 
-# An ejection lasts this many times its nominal length, drawn evenly, so that limiters do not probe all at
-# once.
+# The nominal duration of an ejection is multiplied by a factor drawn uniformly from this range, so that the
+# limiters do not all send their probes at the same time.
 MIN_EJECTION_JITTER = 0.8
 MAX_EJECTION_JITTER = 1.2
 
-# Outcomes that say nothing of a server's health.
-UNINFORMATIVE = (Outcome.CANCELLED, Outcome.REQUEST_ENDED, Outcome.REJECTED)
+# Outcomes that give no information about a server's health.
+UNINFORMATIVE_OUTCOMES = (Outcome.CANCELLED, Outcome.REQUEST_ENDED, Outcome.REJECTED)
 
 
 @dataclass(slots=True, eq=False)
 class Ejection:
-    """The ejection of a server that fails too often.
+    """The ejection of a server whose failure rate is too high.
 
     Attributes:
         ends_at: Time from which a probe attempt may be sent.
-        length: Nominal length, without jitter.
-        probe_in_flight: Whether an attempt was sent since the ejection that has not shown yet whether the
-            server is well. One that was rejected or cancelled has not shown it.
+        nominal_duration: Duration without jitter.
+        is_probe_in_flight: Whether an attempt sent since the ejection started has not yet shown whether the
+            server is healthy. The flag stays set if that attempt is rejected or cancelled, because these
+            outcomes do not show it.
     """
 
     ends_at: float
-    length: float
-    probe_in_flight: bool = False
+    nominal_duration: float
+    is_probe_in_flight: bool = False
 
     def accepts_probe(self, now: float) -> bool:
-        """Whether the one probe attempt may be sent that may end the ejection."""
-        return now >= self.ends_at and not self.probe_in_flight
+        """Return whether the server may be sent a probe attempt now."""
+        return now >= self.ends_at and not self.is_probe_in_flight
 
-    def start_probe(self) -> None:
-        """Count an attempt to the server as the probe."""
-        self.probe_in_flight = True
+    def record_probe_sent(self) -> None:
+        """Treat an attempt sent to the ejected server as its probe."""
+        self.is_probe_in_flight = True
 
-    def end_probe(self) -> None:
-        """Forget the probe: another one may be sent."""
-        self.probe_in_flight = False
+    def clear_probe(self) -> None:
+        """Clear the probe in flight, so that another one may be sent."""
+        self.is_probe_in_flight = False
 
 
 @dataclass(slots=True, eq=False)
@@ -85,125 +87,129 @@
 
     Attributes:
         ends_at: Time until which no attempt is sent to the server.
-        next_length: How long the next pause will last.
+        next_duration: Duration of the next pause.
     """
 
     ends_at: float
-    next_length: float
+    next_duration: float
 
-    def reset_length(self) -> None:
-        """Let the next pause be as short as the first: an attempt has succeeded."""
-        self.next_length = FIRST_PAUSE_MS
+    def reset_next_duration(self) -> None:
+        """Reset the duration of the next pause to that of the first, after an attempt has succeeded."""
+        self.next_duration = FIRST_PAUSE_MS
 
 
 @dataclass(slots=True, eq=False)
 class ServerHealth:
-    """What the outcomes of attempts say of one server.
+    """Health statistics of one server, computed from the outcomes of its attempts.
 
     Attributes:
-        latency: Moving average of the latency; 0 until it was measured for the first time.
-        failure_rate: Moving average of the share of attempts that failed.
-        last_outcome_at: Time of the newest outcome that said something of the server's health.
-        ejection: The ejection until a probe succeeds; None while the server is not ejected.
-        pause: The newest pause after a rejection, also when it is over; None if there was none.
+        average_latency: Moving average of the attempt latency; 0 before the first measurement.
+        failure_rate: Moving average of the fraction of attempts that failed.
+        last_outcome_at: Time of the latest outcome that gave information about the server's health.
+        ejection: The current ejection, until a probe succeeds; None while the server is not ejected.
+        pause: The latest pause after a rejection, kept after it has ended; None if there was none.
     """
 
-    latency: float = 0.0
+    average_latency: float = 0.0
     failure_rate: float = 0.0
     last_outcome_at: float = 0.0
     ejection: Ejection | None = None
     pause: RejectionPause | None = None
 
-    def remaining_weight(self, now: float) -> float:
-        """Return the weight that the record of this server still has against the mean of the fleet."""
-        return decay_factor(now - self.last_outcome_at, RECORD_AGEING_MS)
+    def compute_remaining_weight(self, now: float) -> float:
+        """Return the weight of this server's statistics against the fleet's mean; it decays from 1."""
+        return decay_factor(now - self.last_outcome_at, HEALTH_DECAY_TIME_MS)
 
     def record_attempt_sent(self) -> None:
-        """Count an attempt that is sent to the server: the probe, if the server is ejected."""
+        """Record that an attempt is sent to the server; if the server is ejected, this is its probe."""
         if self.ejection is not None:
-            self.ejection.start_probe()
+            self.ejection.record_probe_sent()
 
     def record_rejection(self, now: float) -> None:
-        """Pause the server, each time for longer while no attempt succeeds."""
-        length = FIRST_PAUSE_MS if self.pause is None else self.pause.next_length
-        self.pause = RejectionPause(ends_at=now + length, next_length=min(MAX_PAUSE_MS, 2 * length))
+        """Pause the server. Each pause doubles the next one up to the maximum, until an attempt succeeds."""
+        duration = FIRST_PAUSE_MS if self.pause is None else self.pause.next_duration
+        self.pause = RejectionPause(ends_at=now + duration, next_duration=min(MAX_PAUSE_MS, 2 * duration))
 
-    def record_acceptance(self) -> None:
-        """Count a success, after which the pauses begin with the shortest again."""
+    def record_success(self) -> None:
+        """Record a successful attempt, after which the next pause has the shortest duration again."""
         if self.pause is not None:
-            self.pause.reset_length()
+            self.pause.reset_next_duration()
 
     def record_stale_connection(self) -> None:
-        """Count an attempt that its connection ended, closed by the server while idle.
+        """Record an attempt that failed because the server had closed the idle connection that it used.
 
-        It says nothing of the server. If it was the probe, another one may be sent.
+        This gives no information about the server's health. If the attempt was the probe, another probe may
+        be sent.
         """
         if self.ejection is not None:
-            self.ejection.end_probe()
+            self.ejection.clear_probe()
 
-    def age(self, now: float, fleet_latency: float) -> None:
-        """Let an old record fade towards no failures and the mean latency of the fleet."""
-        if self.latency and now - self.last_outcome_at > STALE_RECORD_MS:
-            remaining = self.remaining_weight(now)
-            self.failure_rate = remaining * self.failure_rate
-            self.latency = update_ewma(fleet_latency, self.latency, remaining)
+    def decay_towards_fleet_mean(self, now: float, fleet_latency: float) -> None:
+        """Decay old statistics towards a failure rate of 0 and the mean latency of the fleet."""
+        if self.average_latency and now - self.last_outcome_at > STALE_HEALTH_AGE_MS:
+            remaining_fraction = self.compute_remaining_weight(now)
+            self.failure_rate = remaining_fraction * self.failure_rate
+            self.average_latency = update_ewma(fleet_latency, self.average_latency, remaining_fraction)
 
     def record_outcome(self, now: float, is_success: bool) -> None:
-        """Count an outcome that says something of the server's health."""
+        """Add an outcome that gives information about the server's health to the failure rate."""
         self.failure_rate = update_ewma(self.failure_rate, 0.0 if is_success else 1.0, OUTCOME_WEIGHT)
         self.last_outcome_at = now
 
     def record_latency(self, latency: float) -> None:
-        """Add a latency to the moving average."""
-        self.latency = update_or_start_ewma(self.latency, latency, OUTCOME_WEIGHT)
+        """Add a measured latency to the moving average."""
+        self.average_latency = update_or_start_ewma(self.average_latency, latency, OUTCOME_WEIGHT)
 
     def is_ejection_due(self) -> bool:
-        """Whether a failure ejects the server, or ejects it again since the failed attempt was the probe."""
-        is_probe = self.ejection is not None and self.ejection.probe_in_flight
-        return is_probe or self.failure_rate > EJECTION_FAILURE_RATE
+        """Return whether a failed attempt ejects the server, now or again because its probe has failed."""
+        has_probe_in_flight = self.ejection is not None and self.ejection.is_probe_in_flight
+        return has_probe_in_flight or self.failure_rate > EJECTION_FAILURE_RATE
 
-    def eject(self, now: float, jitter: float) -> None:
-        """Eject the server, for twice the length of its last ejection if it has not recovered since.
+    def eject(self, now: float, jitter_factor: float) -> None:
+        """Eject the server, for twice the duration of its last ejection if it has not recovered since.
 
         Args:
-            now: Time of the failure that led to it.
-            jitter: Factor of the length.
+            now: Time of the failure that causes the ejection.
+            jitter_factor: Factor by which the nominal duration is multiplied.
         """
-        length = FIRST_EJECTION_MS
+        duration = FIRST_EJECTION_MS
         if self.ejection is not None:
-            length = min(MAX_EJECTION_MS, 2 * self.ejection.length)
-        self.ejection = Ejection(now + length * jitter, length)
+            duration = min(MAX_EJECTION_MS, 2 * self.ejection.nominal_duration)
+        self.ejection = Ejection(now + duration * jitter_factor, duration)
 
-    def end_probe(self, is_success: bool) -> None:
-        """Count an outcome that does not eject the server; a probe that succeeded ends the ejection."""
+    def update_ejection(self, is_success: bool) -> None:
+        """Update the ejection after an outcome that does not eject the server.
+
+        A successful probe ends the ejection; otherwise another probe may be sent.
+        """
         if self.ejection is None:
             return
-        if is_success and self.ejection.probe_in_flight:
+        if is_success and self.ejection.is_probe_in_flight:
             self.ejection = None
             self.failure_rate = min(self.failure_rate, OUTCOME_WEIGHT)
         else:
-            self.ejection.end_probe()
+            self.ejection.clear_probe()
 
 
 @dataclass(eq=False)
 class OutlierDetector:
-    """Judges servers by how attempts end.
+    """Updates the health of servers from the outcomes of attempts.
 
     Attributes:
-        context: What the parts of the policy engine share.
-        mean_latency: Moving average of the latency over all servers; 0 until one was measured.
+        context: State shared by the components of the policy engine.
+        mean_latency: Moving average of the attempt latency over all servers; 0 before the first measurement.
     """
 
     context: EngineContext
     mean_latency: float = 0.0
 
     def record_outcome(self, now: float, health: ServerHealth, ended: AttemptEnded) -> bool:
-        """Take in how an attempt ended.
+        """Update a server's health after one of its attempts has ended.
 
         Args:
-            now: Time of the end.
+            now: Time at which the attempt ended.
             health: Health of the server that the attempt was sent to.
-            ended: How it ended.
+            ended: The end of the attempt.
 
         Returns:
             Whether the attempt counts as a success.
@@ -212,28 +218,28 @@
         if ended.outcome is Outcome.REJECTED:
             health.record_rejection(now)
         elif is_success:
-            health.record_acceptance()
+            health.record_success()
         if ended.stale_connection:
             health.record_stale_connection()
             return False
-        if ended.outcome in UNINFORMATIVE:
+        if ended.outcome in UNINFORMATIVE_OUTCOMES:
             return False
-        self._judge(now, health, ended, is_success)
+        self._update_health(now, health, ended, is_success)
         return is_success
 
-    def _judge(self, now: float, health: ServerHealth, ended: AttemptEnded, is_success: bool) -> None:
-        """Take in an outcome that says something of the server's health: its record, then its ejection."""
-        health.age(now, self.mean_latency)
+    def _update_health(self, now: float, health: ServerHealth, ended: AttemptEnded, is_success: bool) -> None:
+        """Update the statistics, then the ejection, after an outcome that tells about the server's health."""
+        health.decay_towards_fleet_mean(now, self.mean_latency)
         health.record_outcome(now, is_success)
         if is_success:
             self._record_latency(health, ended.latency)
         elif ended.outcome is Outcome.TIMEOUT:
-            # How long the attempt was waited for is not how long the server would have taken.
+            # The time waited for a timed-out attempt is not the latency that the server would have had.
             self._record_latency(health, min(ended.latency, self.context.min_latency_objective))
         if not is_success and health.is_ejection_due():
             health.eject(now, self.context.random.uniform(MIN_EJECTION_JITTER, MAX_EJECTION_JITTER))
         else:
-            health.end_probe(is_success)
+            health.update_ejection(is_success)
 
     def _record_latency(self, health: ServerHealth, latency: float) -> None:
         health.record_latency(latency)
--- a/limiter/policy/server_selection.py
+++ b/limiter/policy/server_selection.py
@@ -1,7 +1,8 @@
-"""Server selection: which of the ready servers gets an attempt.
+"""Server selection: chooses the ready server that an attempt is sent to.
 
-Servers that are paused, ejected or without a credit are left out; the others are compared by the time that an
-attempt is expected to take there. Types: limiter/model. All times and durations are milliseconds.
+Servers that are paused, ejected or without slow-start credit are excluded. The others are compared by cost,
+which is the expected time of an attempt at the server. Event and setting types are defined in limiter/model.
+All times and durations are in milliseconds.
 """
 
 import math
@@ -12,39 +13,40 @@
 from limiter.model.settings import DedupScope, Idempotency
 from limiter.policy.context import EngineContext
 from limiter.policy.open_request import OpenRequest
-from limiter.policy.outlier_detection import RECORD_AGEING_MS, OutlierDetector
+from limiter.policy.outlier_detection import HEALTH_DECAY_TIME_MS, OutlierDetector
 from limiter.policy.server_table import Server, ServerTable
 from limiter.policy.slow_start import SlowStart
 
-# Servers that one choice compares at most, drawn from all. The cost of a choice is bounded so in any
-# fleet, and what a limiter knows of few servers tells more than an even draw.
+# Maximum number of servers, sampled at random from the fleet, that one choice compares. This bounds the
+# processor time of a choice in a fleet of any size, and comparing a few servers by what the limiter knows of
+# them is better than choosing uniformly at random.
 MAX_CANDIDATES = 100
 
-# Once no attempt was sent to an unresponsive server for this long, its waiting attempts no longer raise its
-# cost: the next attempt shows whether it still does not answer.
+# After no attempt was sent to an unresponsive server for this long, its unanswered attempts no longer
+# increase its cost, so that the next attempt can show whether the server responds again.
 UNRESPONSIVE_RETRY_MS = 1000.0
 
-# The cost is multiplied by a factor drawn from this range: limiters that know the same must not all
-# choose the same server.
+# The cost is multiplied by a factor drawn uniformly from this range, so that limiters with the same
+# information do not all choose the same server.
 MIN_COST_NOISE = 1.0
 MAX_COST_NOISE = 1.1
 
-# Added to the latency in the cost, so that servers of which no latency is known yet differ by their load.
+# Added to the latency in the cost, so that servers without a measured latency still differ by their load.
 BASE_LATENCY_MS = 1.0
 
-# Least success rate that the cost reckons with: below it an attempt would seem endlessly expensive.
+# Lower bound of the success rate that the cost is divided by; near 0 the cost would grow without limit.
 MIN_SUCCESS_RATE = 0.05
 
 
 @dataclass(eq=False)
 class ServerSelector:
-    """Chooses among the servers that are ready.
+    """Chooses a server for each attempt among the ready servers.
 
     Attributes:
-        context: What the parts of the policy engine share.
-        outlier_detector: Judges servers by how attempts end.
-        slow_start: Limits what a server gets while it warms up.
-        table: The servers.
+        context: State shared by the components of the policy engine.
+        outlier_detector: Provides the mean latency of the fleet.
+        slow_start: Limits the attempts to servers that are warming up.
+        table: The known servers.
     """
 
     context: EngineContext
@@ -53,49 +55,61 @@
     table: ServerTable = field(default_factory=ServerTable)
 
     def update_endpoints(self, change: EndpointsChanged) -> None:
-        """Take in the endpoint list, or what changed of it."""
+        """Apply a full endpoint list, or changes to the list, and register new servers for slow start."""
         for server in self.table.update(change):
-            self.slow_start.register(server)
+            self.slow_start.register_server(server)
 
     def choose(self, now: float, request: OpenRequest) -> Server | None:
-        """Return the server for the next attempt of a request; None where none may take it."""
-        # Both conditions stand here without a call, since they are asked of every candidate.
+        """Return the server for the next attempt of a request, or None if no server may receive it.
+
+        Servers that the request has not been sent to are preferred. Slow start draws one of the cheapest.
+        """
+        # The pause conditions are inline because they are checked for every candidate, and calls cost time.
         candidates = [
             server
-            for server in self._candidates(request)
+            for server in self._list_candidates(request)
             if server.health.pause is None or now >= server.health.pause.ends_at
         ]
         untried = [
             server for server in candidates if server.endpoint.id not in request.attempts.tried_endpoint_ids
         ]
-        candidates = self._without_ejected(now, untried or candidates)
-        candidates = self.slow_start.with_credit(now, candidates)
-        count = max(1, int(self.context.settings.slow_start_overload))
-        cheapest = nsmallest(count, candidates, lambda server: self.estimate_cost(now, server))
-        return self.slow_start.choose(now, cheapest)
+        candidates = self._exclude_ejected(now, untried or candidates)
+        candidates = self.slow_start.filter_by_credit(now, candidates)
+        max_cheapest_servers = max(1, int(self.context.settings.slow_start_overload))
+        cheapest = nsmallest(max_cheapest_servers, candidates, lambda server: self.estimate_cost(now, server))
+        return self.slow_start.draw_server(now, cheapest)
 
-    def _candidates(self, request: OpenRequest) -> list[Server]:
-        """Return the servers that the request may be sent to, some of them drawn in a large fleet.
+    def _list_candidates(self, request: OpenRequest) -> list[Server]:
+        """Return the ready servers that the request may be sent to, in a large fleet a random sample of them.
 
-        A retry that only one zone or cell knows as a repeat is bound to that.
+        A retry whose idempotency key is recognized in one zone or cell only is limited to servers there.
         """
         candidates = self.table.ready
         if len(candidates) > MAX_CANDIDATES:
             candidates = self.context.random.sample(candidates, MAX_CANDIDATES)
-        first = request.attempts.first_attempt
+        first_attempt_sent = request.attempts.first_attempt
         request_class = request.request_class
-        if first is not None and request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
+        if first_attempt_sent is not None and request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
             if request_class.dedup_scope is DedupScope.ZONE:
-                return [server for server in self.table.ready if server.endpoint.zone == first.endpoint.zone]
+                return [
+                    server
+                    for server in self.table.ready
+                    if server.endpoint.zone == first_attempt_sent.endpoint.zone
+                ]
             if request_class.dedup_scope is DedupScope.CELL:
-                return [server for server in self.table.ready if server.endpoint.cell == first.endpoint.cell]
+                return [
+                    server
+                    for server in self.table.ready
+                    if server.endpoint.cell == first_attempt_sent.endpoint.cell
+                ]
         return candidates
 
     @staticmethod
-    def _without_ejected(now: float, servers: list[Server]) -> list[Server]:
-        """Return the servers that are not ejected, or due for a probe.
+    def _exclude_ejected(now: float, servers: list[Server]) -> list[Server]:
+        """Return the servers that are not ejected or are due for a probe.
 
-        Where most are ejected the fault is not theirs, and all are returned.
+        If more than half of the servers would be excluded, the fault is unlikely to be theirs, and all
+        servers are returned.
         """
         healthy = [
             server
@@ -106,25 +120,26 @@
         return servers if most_are_ejected else healthy
 
     def estimate_cost(self, now: float, server: Server) -> float:
-        """Return the expected time of an attempt, retries after failures included, with noise.
+        """Return the expected time of an attempt, including retries after failures, with random noise.
 
-        It grows with the server's latency and the attempts in flight to it from here; overtaken attempts are
-        left out. A server that does not answer has at least the latency for which it has been waited for.
+        The cost grows with the server's latency and with the attempts in flight from this limiter to it, not
+        counting those that are presumed lost. The latency of a server that does not respond is at least the
+        time for which the limiter has been waiting for it.
         """
         health = server.health
         latency = self.outlier_detector.mean_latency
-        record_weight = 0.0
-        if health.latency:
-            # What `health.remaining_weight` returns, without a call for each candidate of each choice.
-            record_weight = math.exp((health.last_outcome_at - now) / RECORD_AGEING_MS)
-            latency += record_weight * (health.latency - latency)
-        working = 0
+        health_weight = 0.0
+        if health.average_latency:
+            # Same value as `health.compute_remaining_weight`, without a call for each compared server.
+            health_weight = math.exp((health.last_outcome_at - now) / HEALTH_DECAY_TIME_MS)
+            latency += health_weight * (health.average_latency - latency)
+        active_attempts = 0
         attempts = server.attempts_in_flight
         if attempts is not None:
-            overtaken = attempts.count_presumed_lost(now - self.context.min_latency_objective)
-            working = len(attempts.sent_at) - overtaken
-            if working > 0 and now - attempts.last_sent_at < UNRESPONSIVE_RETRY_MS:
+            presumed_lost_attempts = attempts.count_presumed_lost(now - self.context.min_latency_objective)
+            active_attempts = len(attempts.sent_at) - presumed_lost_attempts
+            if active_attempts > 0 and now - attempts.last_sent_at < UNRESPONSIVE_RETRY_MS:
                 latency = max(latency, now - attempts.unanswered_since())
-        noise = self.context.random.uniform(MIN_COST_NOISE, MAX_COST_NOISE)
-        success_rate = max(MIN_SUCCESS_RATE, 1 - record_weight * health.failure_rate)
-        return noise * (latency + BASE_LATENCY_MS) * (1 + working) / success_rate**2
+        noise_factor = self.context.random.uniform(MIN_COST_NOISE, MAX_COST_NOISE)
+        success_rate = max(MIN_SUCCESS_RATE, 1 - health_weight * health.failure_rate)
+        return noise_factor * (latency + BASE_LATENCY_MS) * (1 + active_attempts) / success_rate**2
--- a/limiter/policy/server_table.py
+++ b/limiter/policy/server_table.py
@@ -1,8 +1,9 @@
-"""The servers that this limiter knows, by its endpoint list.
+"""The table of servers that this limiter knows from its endpoint list.
 
-A `Server` is made of parts, each in the module that owns it: health and ejection (`outlier_detection`), the
-credit of its slow start (`slow_start`), attempts in flight (`attempts_in_flight`). Its endpoint and whether
-it is ready are changed here alone. Types: limiter/model. All times and durations are milliseconds.
+The state of a `Server` consists of parts, each defined in its own module: health and ejection in
+`outlier_detection`, slow-start credit in `slow_start`, attempts in flight in `attempts_in_flight`. Only this
+module changes a server's endpoint and whether it is ready. Event types are defined in limiter/model. All
+times and durations are in milliseconds.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server, one process from its start to its end.
+    """One server process, from its start to its end. A restarted server is a new `Server`.
 
     Attributes:
-        endpoint: Its entry of the endpoint list.
-        is_ready: Whether the endpoint list says that attempts may be sent to it.
-        health: What the outcomes of its attempts say of it.
-        slow_start_credit: Attempts that it may get while it warms up.
-        attempts_in_flight: The attempts in flight to it from here; None while there are none, which saves
-            memory in a large fleet.
+        endpoint: The server's entry in the endpoint list.
+        is_ready: Whether attempts may be sent to the server according to the endpoint list.
+        health: Health statistics from the outcomes of its attempts.
+        slow_start_credit: Credit for attempts while the server warms up.
+        attempts_in_flight: Attempts in flight from this limiter to the server; None if there are none, which
+            saves memory in a large fleet.
     """
 
     endpoint: Endpoint
@@ -36,23 +37,23 @@
     attempts_in_flight: AttemptsInFlight | None = None
 
     def update_endpoint(self, endpoint: Endpoint) -> None:
-        """Take in a newer entry of the endpoint list for the same process."""
+        """Replace the endpoint by a newer list entry for the same process."""
         self.endpoint = endpoint
         self.is_ready = endpoint.state is EndpointState.READY
 
     def mark_unlisted(self) -> None:
-        """Count the server as not ready, since a full endpoint list does not name it."""
+        """Mark the server as not ready because a full endpoint list does not contain it."""
         self.is_ready = False
 
     def start_attempt(self, request_id: int, attempt: int, now: float) -> None:
-        """Count an attempt that is sent to the server now."""
+        """Record an attempt that is sent to the server now."""
         if self.attempts_in_flight is None:
             self.attempts_in_flight = AttemptsInFlight()
         self.attempts_in_flight.add(request_id, attempt, now)
         self.health.record_attempt_sent()
 
     def end_attempt(self, request_id: int, attempt: int, is_success: bool) -> bool:
-        """Count the end of an attempt; return False if it was not sent by this process."""
+        """Record the end of an attempt; return False if this limiter process did not send the attempt."""
         in_flight = self.attempts_in_flight
         if in_flight is None or not in_flight.remove(request_id, attempt, is_success):
             return False
@@ -62,61 +63,61 @@
 
 
 class ServerTable:
-    """All servers that the endpoint list names or attempts are in flight to, and those that are ready.
+    """The servers that are ready on the endpoint list or have attempts in flight.
 
     Attributes:
-        by_id: All servers, by the id of their endpoint.
+        by_id: All servers in the table, by endpoint id.
         ready: The servers that attempts may be sent to.
-        avoided: Ids of servers that are counted as not ready, since peers have reported them as draining or
-            gone while the own endpoint list is stale.
+        excluded_ids: Ids of servers that are treated as not ready, because peers reported them as draining or
+            gone while this limiter's endpoint list is stale.
     """
 
     def __init__(self) -> None:
-        """Begin without an endpoint list."""
+        """Create an empty table."""
         self.by_id: dict[EndpointId, Server] = {}
         self.ready: list[Server] = []
-        self.avoided: set[EndpointId] = set()
+        self.excluded_ids: set[EndpointId] = set()
 
     def update(self, change: EndpointsChanged) -> list[Server]:
-        """Take in the endpoint list, or what changed of it.
+        """Apply a full endpoint list, or changes to the list.
 
         Returns:
-            The servers that have just started, or are new to this limiter, in the order of the list.
+            The servers that have restarted or are new to this limiter, in the order of the list.
         """
         if change.is_full_list:
             self._mark_unlisted({endpoint.id for endpoint in change.endpoints})
-        started = []
+        new_servers = []
         for endpoint in change.endpoints:
             server = self._update_server(endpoint)
             if server is not None:
-                started.append(server)
-        self._forget_unused()
+                new_servers.append(server)
+        self._remove_unused()
         self._update_ready()
-        return started
+        return new_servers
 
-    def _mark_unlisted(self, listed: Set[EndpointId]) -> None:
+    def _mark_unlisted(self, listed_ids: Set[EndpointId]) -> None:
         for server in self.by_id.values():
-            if server.endpoint.id not in listed:
+            if server.endpoint.id not in listed_ids:
                 server.mark_unlisted()
 
     def _update_server(self, endpoint: Endpoint) -> Server | None:
-        """Take in one entry of the endpoint list; return the server if this is a process not known before."""
-        known = self.by_id.get(endpoint.id)
-        if known is not None and endpoint.started_at <= known.endpoint.started_at:
-            known.update_endpoint(endpoint)
+        """Apply one entry of the endpoint list; return the server if the entry is for a new process."""
+        known_server = self.by_id.get(endpoint.id)
+        if known_server is not None and endpoint.started_at <= known_server.endpoint.started_at:
+            known_server.update_endpoint(endpoint)
             return None
-        # What was learnt of the process before does not hold for this one, but attempts to it are in
-        # flight.
+        # The statistics of the previous process do not apply to the new one, but attempts that were sent to
+        # the previous process are still in flight.
         in_flight = None
-        if known is not None and known.attempts_in_flight is not None:
-            in_flight = known.attempts_in_flight.copy_for_restarted_server()
+        if known_server is not None and known_server.attempts_in_flight is not None:
+            in_flight = known_server.attempts_in_flight.copy_for_restarted_server()
         is_ready = endpoint.state is EndpointState.READY
-        started = Server(endpoint, is_ready, attempts_in_flight=in_flight)
-        self.by_id[endpoint.id] = started
-        return started
+        new_server = Server(endpoint, is_ready, attempts_in_flight=in_flight)
+        self.by_id[endpoint.id] = new_server
+        return new_server
 
-    def _forget_unused(self) -> None:
-        """Keep nothing of servers that left and have no attempt in flight: machines come and go."""
+    def _remove_unused(self) -> None:
+        """Remove servers that are not ready and have no attempt in flight, since machines come and go."""
         self.by_id = {
             key: server
             for key, server in self.by_id.items()
@@ -124,18 +125,18 @@
         }
 
     def _update_ready(self) -> None:
-        ready = (server for server in self.by_id.values() if server.is_ready)
-        self.ready = [server for server in ready if server.endpoint.id not in self.avoided]
-
-    def avoid(self, endpoint_ids: Iterable[EndpointId]) -> None:
-        """Count these servers as not ready, whatever the own endpoint list says."""
-        known = self.by_id.keys() & set(endpoint_ids)
-        if known:
-            self.avoided |= known
+        ready_servers = (server for server in self.by_id.values() if server.is_ready)
+        self.ready = [server for server in ready_servers if server.endpoint.id not in self.excluded_ids]
+
+    def exclude_endpoints(self, endpoint_ids: Iterable[EndpointId]) -> None:
+        """Treat these servers as not ready, whatever this limiter's endpoint list says."""
+        known_ids = self.by_id.keys() & set(endpoint_ids)
+        if known_ids:
+            self.excluded_ids |= known_ids
             self._update_ready()
 
-    def trust_own_list(self) -> None:
-        """Avoid no server any more."""
-        if self.avoided:
-            self.avoided = set()
+    def clear_exclusions(self) -> None:
+        """Use all servers that are ready on the endpoint list again."""
+        if self.excluded_ids:
+            self.excluded_ids = set()
             self._update_ready()
--- a/limiter/policy/slow_start.py
+++ b/limiter/policy/slow_start.py
@@ -1,9 +1,10 @@
-"""Slow start: how much a server may get while it warms up after its start.
+"""Slow start: limits the attempts that are sent to a server while it warms up after its start.
 
-What all limiters send to a warming server adds up, and by cost alone it ranks first at each of them, since
-little is in flight there. So it is drawn with a probability equal to the fraction of its capacity that it has
-by now. Where one limiter sees little of a server's load, it gets a credit as well, for its even share of the
-attempts. Types: limiter/model. All times and durations are milliseconds.
+A warming server has few attempts in flight, so by cost alone every limiter would rank it first, and the sum
+of their attempts would overload it. Therefore a server is chosen with a probability equal to its current
+capacity fraction. If one limiter observes only a small part of a server's load, it also limits its attempts
+to the server by a credit, which grows with the attempts that the server would get if they were spread evenly.
+Event types are defined in limiter/model. All times and durations are in milliseconds.
 """
 
 from __future__ import annotations
@@ -16,135 +17,157 @@
 from limiter.model.events import Endpoint
 from limiter.policy.context import EngineContext
 
-# Share of a warming server's overload allowance that its even share of attempts may fill. The rest is
-# room for chance: the limiters do not know of each other's attempts.
-CREDIT_SHARE = 0.75
+# Fraction of a warming server's overload allowance that the credits of all limiters together may use. The
+# rest is a margin for random variation, because the limiters do not know of each other's attempts.
+CREDIT_OVERLOAD_FRACTION = 0.75
 
-# Attempts that a limiter must send to a server with full capacity, as its even share, in the time of a
-# warm-up. With fewer, credits bring nothing but idle connections.
-MIN_EVEN_SHARE = 2.0
+# Minimum number of attempts, as an even share, that a limiter must send to a server with full capacity
+# within the duration of slow start for credits to be used. With fewer, credits only add idle connections.
+MIN_EVEN_SHARE_ATTEMPTS = 2.0
 
 
 @dataclass(slots=True, eq=False)
 class SlowStartCredit:
-    """Attempts that one server may get from here while it warms up.
+    """Credit for attempts that this limiter may send to one server while the server warms up.
 
     Attributes:
-        attempts: The attempts saved up; one is spent with each attempt, and the credit may be below zero.
-        counted_share: Even share (see `SlowStart`) up to which the credit was counted.
+        available_attempts: The credit. Each attempt takes 1 from it, and it may become negative.
+        even_share_at_last_accrual: Value of `SlowStart.even_share_attempts` when credit was last added.
     """
 
-    attempts: float = 0.0
-    counted_share: float = 0.0
+    available_attempts: float = 0.0
+    even_share_at_last_accrual: float = 0.0
 
-    def grant(self, attempts: float, even_share: float) -> None:
-        """Begin the credit of a server that has just started with this many attempts."""
-        self.attempts = attempts
-        self.counted_share = even_share
+    def initialize(self, attempts: float, even_share_attempts: float) -> None:
+        """Set the initial credit of a server that is new or has restarted."""
+        self.available_attempts = attempts
+        self.even_share_at_last_accrual = even_share_attempts
 
-    def accrue(self, even_share: float, attempts_per_share: float) -> float:
-        """Add what the server has earned since the credit was last counted; return the credit, 1 at most."""
-        earned = attempts_per_share * (even_share - self.counted_share)
-        self.attempts = min(1.0, self.attempts + earned)
-        self.counted_share = even_share
-        return self.attempts
+    def accrue(self, even_share_attempts: float, credit_per_even_share_attempt: float) -> float:
+        """Add the credit earned since the last accrual, up to a total of 1; return the total.
+
+        Args:
+            even_share_attempts: Current value of `SlowStart.even_share_attempts`.
+            credit_per_even_share_attempt: Credit earned for each attempt of the even share.
+        """
+        earned_attempts = credit_per_even_share_attempt * (
+            even_share_attempts - self.even_share_at_last_accrual
+        )
+        self.available_attempts = min(1.0, self.available_attempts + earned_attempts)
+        self.even_share_at_last_accrual = even_share_attempts
+        return self.available_attempts
 
     def spend_attempt(self) -> None:
-        """Take an attempt that is sent to the server."""
-        self.attempts -= 1
+        """Take the credit of one attempt that is sent to the server."""
+        self.available_attempts -= 1
 
 
-class StartingServer(Protocol):
-    """What slow start has to know of a server."""
+class SlowStartServer(Protocol):
+    """The attributes of a server that slow start uses."""
 
     endpoint: Endpoint
     slow_start_credit: SlowStartCredit
 
 
-AnyServer = TypeVar("AnyServer", bound=StartingServer)
+ServerT = TypeVar("ServerT", bound=SlowStartServer)
 
 
 @dataclass(eq=False)
 class SlowStart:
-    """The slow start of all servers.
+    """Applies slow start to all servers.
 
     Attributes:
-        context: What the parts of the policy engine share.
-        unobserved_load_fraction: How little of a server's load one limiter sees, from 0 to 1. At 0 no credits
-            are used.
-        fleet_capacity: Capacity of all ready servers together, as a number of servers with full capacity;
-            at least 1.
-        even_share: Attempts that a server with full capacity would have got from here so far if they were
-            spread evenly.
+        context: State shared by the components of the policy engine.
+        unobserved_load_fraction: Fraction of a server's load that one limiter does not observe, from 0 to 1.
+            Credits are not used if it is 0.
+        fleet_capacity: Total capacity of the ready servers, as a number of servers with full capacity; at
+            least 1.
+        even_share_attempts: Number of attempts that a server with full capacity would have received from this
+            limiter so far if all attempts had been spread evenly by capacity.
     """
 
     context: EngineContext
     unobserved_load_fraction: float
     fleet_capacity: float = 1.0
-    even_share: float = 0.0
+    even_share_attempts: float = 0.0
 
-    def capacity_fraction(self, now: float, server: StartingServer) -> float:
-        """Return the share of its full capacity that a server has at this time after its start."""
+    def compute_capacity_fraction(self, now: float, server: SlowStartServer) -> float:
+        """Return the fraction of its full capacity that a server has at this time after its start."""
         started_at = server.endpoint.started_at
-        age = max(0.0, now - started_at) if started_at > 0 else math.inf
+        uptime = max(0.0, now - started_at) if started_at > 0 else math.inf
         settings = self.context.settings
-        at_start = settings.slow_start_capacity
-        return min(1.0, at_start + (1 - at_start) * age / max(settings.slow_start_duration, 1e-9))
+        initial_fraction = settings.slow_start_capacity
+        return min(
+            1.0, initial_fraction + (1 - initial_fraction) * uptime / max(settings.slow_start_duration, 1e-9)
+        )
 
-    def update_fleet_capacity(self, now: float, servers: list[AnyServer]) -> float:
-        """Note the capacity of the fleet.
+    def update_fleet_capacity(self, now: float, servers: list[ServerT]) -> float:
+        """Update the capacity of the fleet.
 
         Args:
-            now: The time.
+            now: Current time.
             servers: All ready servers.
 
         Returns:
-            Their capacity together, as a number of servers with full capacity.
+            Their total capacity, as a number of servers with full capacity. Unlike `fleet_capacity`, it has
+            no minimum.
         """
-        starting = (server for server in servers if server.endpoint.started_at > 0)
-        capacity = len(servers) - sum(1 - self.capacity_fraction(now, server) for server in starting)
+        warming_servers = (server for server in servers if server.endpoint.started_at > 0)
+        capacity = len(servers) - sum(
+            1 - self.compute_capacity_fraction(now, server) for server in warming_servers
+        )
         self.fleet_capacity = max(1.0, capacity)
         return capacity
 
-    def register(self, server: StartingServer) -> None:
-        """Begin the credit of a server; it is drawn, so that not all limiters turn to the server at once."""
+    def register_server(self, server: SlowStartServer) -> None:
+        """Give a new server its initial credit, drawn at random so that not all limiters use it at once."""
         attempts = self.context.random.random() if self.unobserved_load_fraction else 1.0
-        server.slow_start_credit.grant(attempts, self.even_share)
+        server.slow_start_credit.initialize(attempts, self.even_share_attempts)
 
-    def record_attempt(self, server: StartingServer) -> None:
-        """Count an attempt that is sent from here to this server."""
-        self.even_share += 1 / self.fleet_capacity
+    def record_attempt(self, server: SlowStartServer) -> None:
+        """Record an attempt that this limiter sends to the server."""
+        self.even_share_attempts += 1 / self.fleet_capacity
         server.slow_start_credit.spend_attempt()
 
-    def with_credit(self, now: float, servers: list[AnyServer]) -> list[AnyServer]:
-        """Return the servers that have a credit for an attempt; all of them where credits are not used."""
+    def filter_by_credit(self, now: float, servers: list[ServerT]) -> list[ServerT]:
+        """Return the servers that have credit for an attempt, or all servers if credits are not in use."""
         if not self._uses_credits(now):
             return servers
-        return [server for server in servers if self._credit(now, server) >= 1]
+        return [server for server in servers if self._accrue_credit(now, server) >= 1]
 
     def _uses_credits(self, now: float) -> bool:
-        """Whether this limiter sees little of a server's load, and yet sends enough to share out."""
+        """Return whether credits are in use.
+
+        They are used if this limiter does not observe all of a server's load and its even share of attempts
+        is large enough.
+        """
         if not self.unobserved_load_fraction:
             return False
-        running_for = now - self.context.started_at
-        # Both sides are multiplied by the running time: the even share of a warm-up against its minimum.
-        return self.even_share * self.context.settings.slow_start_duration >= MIN_EVEN_SHARE * running_for
-
-    def _credit(self, now: float, server: StartingServer) -> float:
-        """Return the attempts that a server may get now: one at most is saved up."""
-        capacity_fraction = self.capacity_fraction(now, server)
+        running_time = now - self.context.started_at
+        # Compares the even share within one slow start, at the average rate so far, with its minimum. Both
+        # sides are multiplied by the running time.
+        return (
+            self.even_share_attempts * self.context.settings.slow_start_duration
+            >= MIN_EVEN_SHARE_ATTEMPTS * running_time
+        )
+
+    def _accrue_credit(self, now: float, server: SlowStartServer) -> float:
+        """Return a server's credit after accrual, at most 1; it is 1 for a server with full capacity."""
+        capacity_fraction = self.compute_capacity_fraction(now, server)
         if capacity_fraction >= 1:
             return 1.0
-        overload = self.context.settings.slow_start_overload
-        attempts_per_share = CREDIT_SHARE / self.unobserved_load_fraction * overload * capacity_fraction
-        return server.slow_start_credit.accrue(self.even_share, attempts_per_share)
+        overload_factor = self.context.settings.slow_start_overload
+        credit_per_even_share_attempt = (
+            CREDIT_OVERLOAD_FRACTION / self.unobserved_load_fraction * overload_factor * capacity_fraction
+        )
+        return server.slow_start_credit.accrue(self.even_share_attempts, credit_per_even_share_attempt)
 
-    def choose(self, now: float, servers: Iterable[AnyServer]) -> AnyServer | None:
-        """Return the first of the servers that a draw by its capacity fraction passes.
+    def draw_server(self, now: float, servers: Iterable[ServerT]) -> ServerT | None:
+        """Return the first server whose random draw is below its capacity fraction, or None if there is none.
 
-        So each server gets attempts in proportion to its capacity, however many limiters there are.
+        Servers thus receive attempts in proportion to their capacity, independent of the number of limiters.
         """
         for server in servers:
-            if self.context.random.random() < self.capacity_fraction(now, server):
+            if self.context.random.random() < self.compute_capacity_fraction(now, server):
                 return server
         return None
