--- a/limiter/__init__.py
+++ b/limiter/__init__.py
@@ -1,4 +1,4 @@
-"""A limiter of customer quotas in front of shared servers; see README.md and docs/ARCHITECTURE.md."""
+"""A distributed rate limiter that enforces customer quotas; see README.md and docs/ARCHITECTURE.md."""
 
 from limiter.model.settings import Settings
 from limiter.policy.engine import PolicyEngine
--- a/limiter/model/__init__.py
+++ b/limiter/model/__init__.py
@@ -1,1 +1,1 @@
-"""Types that the decision policy, its drivers and the settings share; no decisions and no I/O."""
+"""Types shared by the decision policy, its drivers and the settings; contains no decisions and no I/O."""
--- a/limiter/model/actions.py
+++ b/limiter/model/actions.py
@@ -1,6 +1,6 @@
 """Actions: the output of the decision policy.
 
-All times and durations are milliseconds. Actions are carried out in the order in which they are returned.
+All times and durations are in milliseconds. Actions are carried out in the order in which they are returned.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Forward a request to a server; AttemptEnded follows, at the latest when the time-out is over.
+    """Forward a request to a server. AttemptEnded follows, at the latest when the timeout expires.
 
     The attempts of a request are numbered from 0 in the order of these actions.
 
     Attributes:
         request_id: Number of the request.
-        endpoint_id: The server to send it to.
-        timeout: Milliseconds after which the attempt times out; 0 where it lasts until the client gives up.
+        endpoint_id: Id of the server to send the request to.
+        timeout: Milliseconds after which the attempt times out; 0 if it lasts until the client gives up.
     """
 
     request_id: int
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Finish a request as rejected, which promises the client that a retry does no harm.
+    """Finish a request as rejected, which guarantees the client that a retry is safe.
 
     Attributes:
         request_id: Number of the request.
-        retry_after: Milliseconds that the client should wait before a retry; 0 for no advice.
+        retry_after: Milliseconds that the client should wait before a retry; 0 if not specified.
     """
 
     request_id: int
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Finish a request as failed, with no promise about whether it ran."""
+    """Finish a request as failed, with no guarantee about whether it was run."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt; AttemptEnded follows as for any other."""
+    """Cancel an attempt. AttemptEnded follows as for any other attempt."""
 
     request_id: int
     attempt: int
@@ -57,12 +57,12 @@
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add an amount to the shared count under a key and read its total; CounterReply follows.
+    """Add units to a count in the shared counter and read the new total. CounterReply follows.
 
     Attributes:
-        key: The key of the count, 64 bits.
+        key: Key of the count, 64 bits.
         units_to_add: Units to add; 0 only reads the total.
-        time_to_live: Milliseconds after which a count that this call creates is forgotten. Later calls do not
+        time_to_live: Milliseconds after which a count that this call creates expires. Later calls do not
             extend it.
     """
 
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Deliver TimerFired with this token after the delay; a timer cannot be revoked."""
+    """Deliver TimerFired with this token after the delay. A timer cannot be cancelled."""
 
     delay: float
     token: int
@@ -81,19 +81,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHealthCheck:
-    """Ask a server for its health and load; HealthCheckEnded follows."""
+    """Request a server's health and load. HealthCheckEnded follows."""
 
     endpoint_id: EndpointId
 
 
 @dataclass(frozen=True, slots=True)
 class PollDiscovery:
-    """Allow the next call to discovery; EndpointsChanged or DiscoveryPollFailed follows."""
+    """Allow the driver to poll discovery once. EndpointsChanged or DiscoveryPollFailed follows."""
 
 
 @dataclass(frozen=True, slots=True)
 class BroadcastGossip:
-    """Send a message to all other limiters; each may get it late or never."""
+    """Send a message to all other limiters. Each of them may receive it late or never."""
 
     body: bytes
 
--- a/limiter/model/events.py
+++ b/limiter/model/events.py
@@ -1,7 +1,8 @@
 """Events: the input of the decision policy.
 
-All times and durations are milliseconds. Times are those of the clock that the policy is given with each
-event; latencies run from when an attempt, call or health check was sent.
+All times and durations are in milliseconds. Times are readings of the clock whose time is passed to the
+policy with each event. Latencies are measured from the time at which an attempt, counter call or health check
+was sent.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-EndpointId = bytes  # Opaque: it is only compared, and handed back in actions.
+EndpointId = bytes  # Opaque: the policy only compares ids and returns them in actions.
 
 
 class Outcome(Enum):
@@ -18,13 +19,13 @@
 
     OK = "ok"
     ERROR = "error"  # The response was an error; the request may have run.
-    REJECTED = "rejected"  # The other side rejected the request without running it.
-    TIMEOUT = "timeout"  # There was no response in time; the request may have run, or may still run.
-    CONNECT_FAILED = "connect failed"  # There was no connection, so nothing was sent.
+    REJECTED = "rejected"  # The receiver rejected the request without running it.
+    TIMEOUT = "timeout"  # No response arrived in time; the request may have run or may still run.
+    CONNECT_FAILED = "connect failed"  # No connection could be established, so nothing was sent.
     RESET = "reset"  # The connection broke while the attempt was in flight; the request may have run.
     CANCELLED = "cancelled"  # The policy cancelled the attempt; the request may have run.
     REQUEST_ENDED = (
-        "request over"  # Nothing was sent: the request had its final response, or no attempt left.
+        "request over"  # Nothing was sent: the request already had its final response or no attempts left.
     )
 
 
@@ -33,36 +34,36 @@
 
 
 class EndpointState(Enum):
-    """A server's state on the endpoint list."""
+    """A server's state in the endpoint list."""
 
-    READY = "ready"  # The server may be sent requests.
-    DRAINING = "draining"  # The server finishes the requests that it has and must not be sent new ones.
-    GONE = "gone"  # The server was removed. This state occurs among changes only, never on a full list.
+    READY = "ready"  # The server accepts requests.
+    DRAINING = "draining"  # The server finishes its current requests and must not be sent new ones.
+    GONE = "gone"  # The server was removed. This state occurs only in changes, never in a full list.
 
 
 class LoadMetric(Enum):
-    """A metric that a server may report of its own load."""
+    """A metric of a server's own load that the server may report."""
 
     IN_FLIGHT = "in flight"  # Number of requests at the server.
-    QUEUED = "queued"  # Number of requests at the server that wait for service.
+    QUEUED = "queued"  # Number of requests at the server that are waiting for service.
     UTILIZATION = "utilisation"  # Fraction of the server's processors in use, 0 to 1.
     SERVICE_TIME = "service time"  # Recent service time in milliseconds.
-    THROUGHPUT = "throughput"  # Requests a second.
-    ERROR_RATE = "error rate"  # Errors a second.
+    THROUGHPUT = "throughput"  # Requests per second.
+    ERROR_RATE = "error rate"  # Errors per second.
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An entry of the endpoint list: one server.
+    """An entry of the endpoint list, which describes one server.
 
     Attributes:
         id: The server's id.
-        state: Whether it may be sent requests.
-        zone: Number of the zone that it runs in.
-        cell: Number of its cell; servers of a cell share what they know of idempotency keys.
-        machine_type: Number of its kind of machine.
-        weight: Hint at its capacity, to be compared with the weights of other servers.
-        started_at: Time at which it started; 0 if that was long ago.
+        state: The server's state, which determines whether it may be sent requests.
+        zone: Number of the zone that the server runs in.
+        cell: Number of the server's cell; the servers of a cell share their records of idempotency keys.
+        machine_type: Number of the server's machine type.
+        weight: Hint of the server's capacity relative to that of other servers.
+        started_at: Time at which the server started; 0 if it started long ago.
     """
 
     id: EndpointId
@@ -76,12 +77,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsChanged:
-    """The endpoint list, or changes to it.
+    """A full endpoint list, or changes to the list.
 
     Attributes:
         endpoints: Entries of the list.
-        is_full_list: Whether they replace the former list; otherwise only these entries changed.
-        from_cache: Whether this is the list as last known, maybe long ago, and not a response of discovery.
+        is_full_list: Whether the entries replace the previous list; otherwise only these entries changed.
+        from_cache: Whether this is a stored list, which may be old, and not a response from discovery.
     """
 
     endpoints: tuple[Endpoint, ...]
@@ -91,10 +92,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryPollFailed:
-    """A poll of discovery brought no list.
+    """A poll of discovery did not return an endpoint list.
 
     Attributes:
-        rejected: Whether discovery was reached and rejected the poll; otherwise there was no response.
+        rejected: Whether discovery rejected the poll; otherwise discovery did not respond.
     """
 
     rejected: bool = True
@@ -105,15 +106,15 @@
     """A client's request has arrived completely.
 
     Attributes:
-        id: Number of the request; no other open request of this limiter has it.
+        id: Number of the request, unique among the open requests of this limiter.
         customer: Number of the customer.
         plan: Index of the customer's plan in `Settings.plans`.
         request_class: Index of the request's class in `Settings.request_classes`.
-        units: Units that it draws from the quota; an estimate where units are post-paid.
-        limiter_set_size: Number of limiters that may get this customer's requests.
-        limiter_set_start: Number of the first of these limiters.
+        units: Units that the request takes from the quota; an estimate if `Settings.is_post_paid` is set.
+        limiter_set_size: Number of limiters that may receive this customer's requests.
+        limiter_set_start: Index of the first of these limiters.
         expires_at: Time at which the client gives up.
-        is_retry: Whether the client states that it repeats an earlier request.
+        is_retry: Whether the client marked the request as a retry of an earlier one.
     """
 
     id: int
@@ -129,20 +130,22 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt is over; there is one such event for each attempt.
+    """An attempt has ended. There is exactly one such event for each attempt.
 
     Attributes:
         request_id: Number of the request.
-        attempt: Number of the attempt; those of a request are numbered from 0 in the order of sending.
-        endpoint_id: The server that it was sent to.
-        outcome: How it ended.
-        latency: Milliseconds from its start to its end.
-        request_finished: Whether the request has its final response.
-        load_report: The server's load as it reported it; None if it didn't.
-        metered_utilization: The customer's usage through all limiters as a fraction of its quota, as the
-            server metered it some time ago; None if it didn't.
-        billed_units: Units that replace the estimate where units are post-paid; None if it stands.
-        stale_connection: Whether a reused connection was reset before any byte of the response.
+        attempt: Number of the attempt; the attempts of a request are numbered from 0 in the order of sending.
+        endpoint_id: Id of the server that the attempt was sent to.
+        outcome: How the attempt ended.
+        latency: Milliseconds from the start of the attempt to its end.
+        request_finished: Whether the request has received its final response.
+        load_report: Load reported by the server; None if it reported none.
+        metered_utilization: The customer's usage through all limiters as a fraction of its quota, measured by
+            the server some time ago; None if the server did not report it.
+        billed_units: Actual units of the request, which replace the estimate in `ClientRequest.units`; None
+            if the estimate remains valid.
+        stale_connection: Whether the attempt reused a connection that was reset before the first byte of the
+            response.
     """
 
     request_id: int
@@ -159,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The first part of a streamed response has come; from here on the attempt has no time-out."""
+    """The first part of a streamed response has arrived. From now on the attempt has no timeout."""
 
     request_id: int
     attempt: int
@@ -169,20 +172,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client no longer waits for its response."""
+    """The client has disconnected and no longer waits for the response."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CounterReply:
-    """A counter call is over. After TIMEOUT the amount may or may not have been added.
+    """A call to the counter has ended. After `Outcome.TIMEOUT`, the units may or may not have been added.
 
     Attributes:
-        key: The key of the count that was called.
+        key: Key of the count.
         outcome: How the call ended.
-        total_units: The count after this call, all limiters together. Valid with `Outcome.OK` only.
-        latency: Milliseconds from the call to its end.
+        total_units: Units added by all limiters together, including this call. Valid only with `Outcome.OK`.
+        latency: Milliseconds from the start of the call to its end.
     """
 
     key: int
@@ -193,7 +196,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """A health check is over."""
+    """A health check has ended."""
 
     endpoint_id: EndpointId
     outcome: Outcome
@@ -203,10 +206,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A gossip message of another limiter.
+    """A gossip message from another limiter has arrived.
 
     Attributes:
-        sender: Index of that limiter.
+        sender: Index of the limiter that sent it.
         body: The encoded message.
     """
 
@@ -216,7 +219,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the policy set has run out."""
+    """A timer that the policy set has expired."""
 
     token: int
 
--- a/limiter/model/settings.py
+++ b/limiter/model/settings.py
@@ -1,6 +1,6 @@
 """Settings of a limiter and their validation.
 
-All times and durations are milliseconds; quota rates are units a second.
+All times and durations are in milliseconds; quota rates are in units per second.
 """
 
 from __future__ import annotations
@@ -11,10 +11,15 @@
 
 
 class SettingsError(ValueError):
-    """A setting cannot be used; the message names it and says what is wrong with it."""
+    """A setting is invalid. The message names the setting and describes the problem.
+
+    Attributes:
+        name: Name of the setting, or its path in the configuration text.
+        problem: What is wrong with the setting.
+    """
 
     def __init__(self, name: str, problem: str) -> None:
-        """Take the setting's name, or its path in the text, and what is wrong with it."""
+        """Build the message from the setting's name and the problem."""
         super().__init__(f"{name}: {problem}")
         self.name = name
         self.problem = problem
@@ -23,16 +28,16 @@
 class Idempotency(Enum):
     """Whether a request that may have run can be sent again."""
 
-    IDEMPOTENT = "repeatable"  # It can: running it twice does no harm.
-    IDEMPOTENCY_KEY = "keyed"  # It can, to servers that drop repeats by its key (see DedupScope).
-    NOT_IDEMPOTENT = "once"  # It can't.
+    IDEMPOTENT = "repeatable"  # It can be sent again, since running it twice does no harm.
+    IDEMPOTENCY_KEY = "keyed"  # It can be sent again to servers that recognize its key (see DedupScope).
+    NOT_IDEMPOTENT = "once"  # It cannot be sent again.
 
 
 class DedupScope(Enum):
-    """Which servers drop repeats of a request that carries an idempotency key.
+    """Which servers discard a duplicate of a request with an idempotency key.
 
-    A repeat is dropped if it reaches any server of the fleet (`ALL`), a server in the zone of the one that
-    had the first attempt (`ZONE`), or one in its cell (`CELL`).
+    A duplicate is discarded by every server of the fleet (`ALL`), by the servers in the same zone as the
+    server that received the first attempt (`ZONE`), or by the servers in the same cell (`CELL`).
     """
 
     ALL = "all"
@@ -42,21 +47,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What all requests of one class have in common: how fast they must be, and how they may be retried.
+    """Properties shared by all requests of one class: latency objective, retry rules and priority.
 
-    Each request names its class. The weights say how much a response is worth, to compare requests with each
-    other when there is not enough capacity for all.
+    Each request states its class. The weights express the value of a response and are used to compare
+    requests when capacity is insufficient for all of them.
 
     Attributes:
         latency_objective: Latency in milliseconds up to which a response is on time.
-        deadline: Milliseconds after which the client has given up.
+        deadline: Milliseconds after which the client gives up.
         idempotency: Whether a request that may have run can be sent again.
-        dedup_scope: Which servers drop a repeat with the same idempotency key.
+        dedup_scope: Which servers discard a duplicate with the same idempotency key.
         dedup_window: Milliseconds for which servers remember an idempotency key.
-        priority_weight: Worth of a response that is on time, before the plan's factor (`QuotaPlan.price`).
-        late_weight_fraction: Fraction of the priority weight that a late response is still worth.
-        streams_response: Whether the response is a stream, whose first part is an event of its own
-            (StreamStarted).
+        priority_weight: Value of a response that is on time, before multiplication by
+            `QuotaPlan.priority_factor`.
+        late_weight_fraction: Fraction of the priority weight that a late response is worth.
+        streams_response: Whether the response is a stream, whose first part is reported by StreamStarted.
     """
 
     latency_objective: float
@@ -71,20 +76,21 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaPlan:
-    """The quota of each customer of one plan, enforced over all limiters together.
+    """The quota of each customer with one plan, enforced across all limiters.
 
-    A customer has up to three limits: a rate quota, on attempts in flight, and a ceiling. Beyond the quota a
-    request may still be forwarded, at a cost; beyond the ceiling never.
+    A customer has up to three limits: a rate quota, a limit on attempts in flight, and a ceiling rate. A
+    request beyond the quota may still be forwarded at a cost; a request beyond the ceiling is never
+    forwarded.
 
     Attributes:
-        rate: Units a second of the rate quota; 0 where there is none.
-        burst: Units that the token bucket of the rate quota holds.
-        max_concurrency: Limit on the customer's attempts in flight; 0 where there is none.
-        ceiling_rate: Units a second that are never to be exceeded; 0 where there is no ceiling.
-        ceiling_burst: Units that the token bucket of the ceiling holds.
-        priority_factor: Factor on the priority weight of requests of this plan.
-        over_quota_cost_fraction: Fraction of its weight that a request forwarded beyond the quota costs.
-        over_quota_weight_fraction: Fraction of its weight that such a request is still worth.
+        rate: Rate quota in units per second; 0 if there is none.
+        burst: Capacity in units of the token bucket of the rate quota.
+        max_concurrency: Maximum number of the customer's attempts in flight; 0 if there is no limit.
+        ceiling_rate: Rate in units per second that must never be exceeded; 0 if there is no ceiling.
+        ceiling_burst: Capacity in units of the token bucket of the ceiling.
+        priority_factor: Factor by which the priority weight of requests with this plan is multiplied.
+        over_quota_cost_fraction: Cost of forwarding a request beyond the quota, as a fraction of its weight.
+        over_quota_weight_fraction: Value of the response to such a request, as a fraction of its weight.
     """
 
     rate: float = 0.0
@@ -99,36 +105,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that the decisions of one limiter depend on, besides its events and its random seed.
+    """All inputs to the decisions of one limiter, besides its events and its random seed.
 
-    All limiters of a fleet have the same settings but for `limiter_index` and `zone`. `read_settings` in
-    `limiter/configuration/settings_reader.py` has the names under which a configuration states them.
+    All limiters of a fleet have the same settings, except for `limiter_index` and `zone`. The names of the
+    settings in a configuration are defined by `read_settings` in `limiter/configuration/settings_reader.py`.
 
     Attributes:
-        limiter_index: This limiter's number among all limiters, from 0.
+        limiter_index: Index of this limiter among all limiters, from 0.
         limiter_count: Number of limiters that share the quotas.
-        request_classes: The classes of requests; a request names its class by the index in this tuple.
-        plans: The plans of customers; a request names its plan by the index in this tuple.
+        request_classes: The request classes; a request states its class as an index into this tuple.
+        plans: The customers' plans; a request states its plan as an index into this tuple.
         zone: Number of the zone that this limiter runs in.
-        max_attempts: Limit on the attempts of each request, the first included.
+        max_attempts: Maximum number of attempts for each request, including the first.
         may_cancel: Whether attempts may be cancelled.
         may_health_check: Whether health checks may be sent to servers.
         has_counter: Whether the limiters share a counter of units.
-        may_hedge: Whether a request may have two attempts in flight at a time.
-        may_gossip: Whether the limiters send each other gossip.
-        max_received_gossip_per_second: Gossip messages a second that a limiter takes in.
-        clients_honor_retry_after: Whether rejected clients get a Retry-After, for which some of them wait.
-        max_retry_after: Longest Retry-After in milliseconds that clients wait for.
+        may_hedge: Whether a request may have two attempts in flight at the same time.
+        may_gossip: Whether the limiters may send gossip to each other.
+        max_received_gossip_per_second: Maximum number of gossip messages per second that a limiter receives.
+        clients_honor_retry_after: Whether rejected clients receive a Retry-After, which some of them honor.
+        max_retry_after: Longest Retry-After, in milliseconds, that clients wait for.
         polls_discovery: Whether limiters poll discovery for the endpoint list; otherwise discovery pushes it.
-        poll_interval: Milliseconds without a poll after which a limiter counts as knowing only the list of
-            its last poll.
+        poll_interval: Milliseconds after its last poll from which a limiter is assumed to know only the list
+            returned by that poll.
         counter_timeout: Milliseconds after which a counter call has failed.
-        meter_period: Milliseconds over which servers meter a customer's usage; 0 where they don't.
-        is_post_paid: Whether the units of a request are an estimate until its response states the true ones.
-        max_units_per_request: Most units that one request can take.
-        slow_start_capacity: Fraction of its full capacity that a server starts with.
-        slow_start_duration: Milliseconds in which a server rises from that fraction to its full capacity.
-        slow_start_overload: Load that a server in slow start bears, as a multiple of its present capacity.
+        meter_period: Milliseconds over which servers meter a customer's usage; 0 if servers do not meter it.
+        is_post_paid: Whether the units of a request are an estimate until its response states the actual
+            units.
+        max_units_per_request: Maximum number of units that one request can take.
+        slow_start_capacity: Capacity of a server at its start, as a fraction of its full capacity.
+        slow_start_duration: Milliseconds in which a server's capacity rises from that fraction to full
+            capacity.
+        slow_start_overload: Load that a server in slow start can bear, as a multiple of its current capacity.
         slow_start_window: Milliseconds over which that load is measured.
     """
 
@@ -159,16 +167,16 @@
 
 
 def validate_settings(settings: Settings) -> None:
-    """Check that a limiter can decide by these settings.
+    """Check that the settings are valid.
 
     Raises:
-        SettingsError: A setting cannot be used; the error names the first such setting.
+        SettingsError: A setting is invalid; the error names the first such setting.
     """
-    _check_position(settings)
+    _check_limiter_index(settings)
     if not settings.request_classes:
-        raise SettingsError(name="request_classes", problem="at least one is needed")
+        raise SettingsError(name="request_classes", problem="expected at least one request class, found none")
     if not settings.plans:
-        raise SettingsError(name="plans", problem="at least one is needed")
+        raise SettingsError(name="plans", problem="expected at least one plan, found none")
     for index, request_class in enumerate(settings.request_classes):
         _check_request_class(f"request_classes[{index}]", request_class)
     for index, plan in enumerate(settings.plans):
@@ -177,8 +185,8 @@
     _check_slow_start(settings)
 
 
-def _check_position(settings: Settings) -> None:
-    """Check this limiter's number among all limiters."""
+def _check_limiter_index(settings: Settings) -> None:
+    """Check the number of limiters and this limiter's index."""
     _check_number("limiter_count", settings.limiter_count, 1)
     _check_number("limiter_index", settings.limiter_index, 0)
     if settings.limiter_index >= settings.limiter_count:
@@ -227,14 +235,14 @@
 ) -> None:
     """Raise SettingsError unless the value is a finite number from `minimum` to `maximum`.
 
-    Where `exclusive` is set, the value must be above `minimum`.
+    If `exclusive` is set, the value must be greater than `minimum`.
     """
     if not _is_finite_number(value) or value < minimum or value > maximum or (exclusive and value == minimum):
-        raise SettingsError(name, f"{value!r} is not a number in its range")
+        raise SettingsError(name, f"{value!r} is not a finite number in the allowed range")
 
 
 def _is_finite_number(value: object) -> bool:
-    """Whether a value is a number that a float can hold; an integer of 400 digits is not."""
+    """Return whether a value is a finite number in the range of floats; an integer of 400 digits is not."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
     try:
