--- a/limiter/policy/discovery_backoff.py
+++ b/limiter/policy/discovery_backoff.py
@@ -192,8 +192,8 @@
         self.must_announce_poll = True
         self.polls_in_slot += 1
 
-    def _needs_report(self, server: EndpointId) -> bool:
-        return self.peer_report_counts.get(server, 0) < MAX_REPORT_COPIES
+    def _needs_report(self, endpoint_id: EndpointId) -> bool:
+        return self.peer_report_counts.get(endpoint_id, 0) < MAX_REPORT_COPIES
 
     def handle_gossip_timer(self) -> None:
         """Send the message that is due, unless peers' messages have made it unnecessary."""
@@ -214,8 +214,8 @@
             if not self.unannounced_ids:
                 return None
         body, encoded_ids = encode_report(is_poll_announced, self.unannounced_ids)
-        for server in encoded_ids:
-            del self.unannounced_ids[server]
+        for endpoint_id in encoded_ids:
+            del self.unannounced_ids[endpoint_id]
         return body
 
     def handle_gossip_message(self, body: bytes) -> bool:
@@ -226,8 +226,8 @@
         if report is None:
             return True  # A malformed message is ignored.
         self.polls_in_slot += report.has_polled
-        for server in report.endpoint_ids:
-            self.peer_report_counts[server] = self.peer_report_counts.pop(server, 0) + 1
+        for endpoint_id in report.endpoint_ids:
+            self.peer_report_counts[endpoint_id] = self.peer_report_counts.pop(endpoint_id, 0) + 1
             if len(self.peer_report_counts) > MAX_REPORTED_SERVERS:
                 del self.peer_report_counts[next(iter(self.peer_report_counts))]
         if self.is_list_stale:
--- a/limiter/policy/outlier_detection.py
+++ b/limiter/policy/outlier_detection.py
@@ -126,7 +126,7 @@
             self.ejection.record_probe_sent()
 
     def record_rejection(self, now: float) -> None:
-        """Pause the server. Each pause doubles the next one up to the maximum, until an attempt succeeds."""
+        """Pause the server, for twice as long as the last time if no attempt has succeeded since."""
         duration = FIRST_PAUSE_MS if self.pause is None else self.pause.next_duration
         self.pause = RejectionPause(ends_at=now + duration, next_duration=min(MAX_PAUSE_MS, 2 * duration))
 
@@ -161,7 +161,7 @@
         self.average_latency = update_or_start_ewma(self.average_latency, latency, OUTCOME_WEIGHT)
 
     def is_ejection_due(self) -> bool:
-        """Return whether a failed attempt ejects the server, now or again because its probe has failed."""
+        """Return whether a failed attempt ejects the server (failed probe, or failure rate too high)."""
         has_probe_in_flight = self.ejection is not None and self.ejection.is_probe_in_flight
         return has_probe_in_flight or self.failure_rate > EJECTION_FAILURE_RATE
 
@@ -228,7 +228,7 @@
         return is_success
 
     def _update_health(self, now: float, health: ServerHealth, ended: AttemptEnded, is_success: bool) -> None:
-        """Update the statistics, then the ejection, after an outcome that tells about the server's health."""
+        """Update the statistics, then the ejection, after an outcome that is informative about the health."""
         health.decay_towards_fleet_mean(now, self.mean_latency)
         health.record_outcome(now, is_success)
         if is_success:
--- a/limiter/policy/server_table.py
+++ b/limiter/policy/server_table.py
@@ -63,7 +63,7 @@
 
 
 class ServerTable:
-    """The servers that are ready on the endpoint list or have attempts in flight.
+    """The servers that are ready according to the endpoint list or that have attempts in flight.
 
     Attributes:
         by_id: All servers in the table, by endpoint id.
@@ -136,7 +136,7 @@
             self._update_ready()
 
     def clear_exclusions(self) -> None:
-        """Use all servers that are ready on the endpoint list again."""
+        """End all exclusions, so that every server that is ready on the endpoint list is used again."""
         if self.excluded_ids:
             self.excluded_ids = set()
             self._update_ready()
--- a/limiter/policy/slow_start.py
+++ b/limiter/policy/slow_start.py
@@ -120,7 +120,7 @@
         return capacity
 
     def register_server(self, server: SlowStartServer) -> None:
-        """Give a new server its initial credit, drawn at random so that not all limiters use it at once."""
+        """Set a new server's initial credit, drawn at random so that limiters do not all use it at once."""
         attempts = self.context.random.random() if self.unobserved_load_fraction else 1.0
         server.slow_start_credit.initialize(attempts, self.even_share_attempts)
 
