--- a/limiter/configuration/settings_reader.py
+++ b/limiter/configuration/settings_reader.py
@@ -121,7 +121,7 @@
         may_health_check=reader.read_flag("limits.probing", False),
         has_counter=reader.read_flag("extra.mayCount", False),
         may_gossip=reader.read_flag("limits.peers", False),
-        max_received_gossip_per_second=reader.read_number("extra.mailPerS", 0.0),
+        gossip_intake_per_second=reader.read_number("extra.mailPerS", 0.0),
         may_hedge=reader.read_flag("limits.secondCopies", False),
         clients_honor_retry_after=reader.read_flag("limits.retryAfter", False),
         max_retry_after=reader.read_number("limits.maxRetryAfter", 0.0),
@@ -139,7 +139,7 @@
         counter_timeout=reader.read_number("extra.countLimit", 50.0),
         meter_period=reader.read_number("extra.meter", 0.0),
         is_post_paid=reader.read_flag("extra.postPaid", False),
-        max_units_per_request=reader.read_number("extra.maxUnits", 1.0),
+        max_units=reader.read_number("extra.maxUnits", 1.0),
     )
 
 
@@ -175,7 +175,7 @@
         dedup_scope=reader.read_choice(f"{path}.group", DEDUP_SCOPES, DedupScope.ALL),
         dedup_window=reader.read_number(f"{path}.window", 0.0),
         priority_weight=reader.read_number(f"{path}.worth", 1.0),
-        late_weight_fraction=reader.read_number(f"{path}.lateWorth", 0.0),
+        late_weight=reader.read_number(f"{path}.lateWorth", 0.0),
         streams_response=reader.read_flag(f"{path}.stream", False),
     )
 
@@ -192,7 +192,7 @@
         max_concurrency=reader.read_integer(f"{path}.open", 0),
         ceiling_rate=reader.read_number(f"{path}.hardRate", 0.0),
         ceiling_burst=reader.read_number(f"{path}.capDepth", 0.0),
-        priority_factor=reader.read_number(f"{path}.valueFactor", 1.0),
-        over_quota_cost_fraction=reader.read_number(f"{path}.beyondCosts", 0.0),
-        over_quota_weight_fraction=reader.read_number(f"{path}.extraWorth", 0.0),
+        price=reader.read_number(f"{path}.valueFactor", 1.0),
+        over_quota_cost=reader.read_number(f"{path}.beyondCosts", 0.0),
+        over_quota_weight=reader.read_number(f"{path}.extraWorth", 0.0),
     )
--- a/limiter/model/settings.py
+++ b/limiter/model/settings.py
@@ -59,8 +59,8 @@
         dedup_scope: Which servers discard a duplicate with the same idempotency key.
         dedup_window: Milliseconds for which servers remember an idempotency key.
         priority_weight: Value of a response that is on time, before multiplication by
-            `QuotaPlan.priority_factor`.
-        late_weight_fraction: Fraction of the priority weight that a late response is worth.
+            `QuotaPlan.price`.
+        late_weight: Fraction of the priority weight that a late response is worth.
         streams_response: Whether the response is a stream, whose first part is reported by StreamStarted.
     """
 
@@ -70,7 +70,7 @@
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window: float = 0.0
     priority_weight: float = 1.0
-    late_weight_fraction: float = 0.0
+    late_weight: float = 0.0
     streams_response: bool = False
 
 
@@ -88,9 +88,9 @@
         max_concurrency: Maximum number of the customer's attempts in flight; 0 if there is no limit.
         ceiling_rate: Rate in units per second that must never be exceeded; 0 if there is no ceiling.
         ceiling_burst: Capacity in units of the token bucket of the ceiling.
-        priority_factor: Factor by which the priority weight of requests with this plan is multiplied.
-        over_quota_cost_fraction: Cost of forwarding a request beyond the quota, as a fraction of its weight.
-        over_quota_weight_fraction: Value of the response to such a request, as a fraction of its weight.
+        price: Factor by which the priority weight of requests with this plan is multiplied.
+        over_quota_cost: Cost of forwarding a request beyond the quota, as a fraction of its weight.
+        over_quota_weight: Value of the response to such a request, as a fraction of its weight.
     """
 
     rate: float = 0.0
@@ -98,9 +98,9 @@
     max_concurrency: int = 0
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
-    priority_factor: float = 1.0
-    over_quota_cost_fraction: float = 0.0
-    over_quota_weight_fraction: float = 0.0
+    price: float = 1.0
+    over_quota_cost: float = 0.0
+    over_quota_weight: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +122,7 @@
         has_counter: Whether the limiters share a counter of units.
         may_hedge: Whether a request may have two attempts in flight at the same time.
         may_gossip: Whether the limiters may send gossip to each other.
-        max_received_gossip_per_second: Maximum number of gossip messages per second that a limiter receives.
+        gossip_intake_per_second: Maximum number of gossip messages per second that a limiter receives.
         clients_honor_retry_after: Whether rejected clients receive a Retry-After, which some of them honor.
         max_retry_after: Longest Retry-After, in milliseconds, that clients wait for.
         polls_discovery: Whether limiters poll discovery for the endpoint list; otherwise discovery pushes it.
@@ -132,7 +132,7 @@
         meter_period: Milliseconds over which servers meter a customer's usage; 0 if servers do not meter it.
         is_post_paid: Whether the units of a request are an estimate until its response states the actual
             units.
-        max_units_per_request: Maximum number of units that one request can take.
+        max_units: Maximum number of units that one request can take.
         slow_start_capacity: Capacity of a server at its start, as a fraction of its full capacity.
         slow_start_duration: Milliseconds in which a server's capacity rises from that fraction to full
             capacity.
@@ -151,7 +151,7 @@
     has_counter: bool = False
     may_hedge: bool = False
     may_gossip: bool = False
-    max_received_gossip_per_second: float = 0.0
+    gossip_intake_per_second: float = 0.0
     clients_honor_retry_after: bool = False
     max_retry_after: float = 0.0
     polls_discovery: bool = False
@@ -159,7 +159,7 @@
     counter_timeout: float = 50.0
     meter_period: float = 0.0
     is_post_paid: bool = False
-    max_units_per_request: float = 1.0
+    max_units: float = 1.0
     slow_start_capacity: float = 1.0
     slow_start_duration: float = 0.0
     slow_start_overload: float = 1.0
@@ -199,7 +199,7 @@
     _check_number(f"{path}.deadline", request_class.deadline, 0, exclusive=True)
     _check_number(f"{path}.dedup_window", request_class.dedup_window, 0)
     _check_number(f"{path}.priority_weight", request_class.priority_weight, 0)
-    _check_number(f"{path}.late_weight_fraction", request_class.late_weight_fraction, 0)
+    _check_number(f"{path}.late_weight", request_class.late_weight, 0)
 
 
 def _check_plan(path: str, plan: QuotaPlan) -> None:
@@ -208,9 +208,9 @@
     _check_number(f"{path}.max_concurrency", plan.max_concurrency, 0)
     _check_number(f"{path}.ceiling_rate", plan.ceiling_rate, 0)
     _check_number(f"{path}.ceiling_burst", plan.ceiling_burst, 0)
-    _check_number(f"{path}.priority_factor", plan.priority_factor, 0)
-    _check_number(f"{path}.over_quota_cost_fraction", plan.over_quota_cost_fraction, 0)
-    _check_number(f"{path}.over_quota_weight_fraction", plan.over_quota_weight_fraction, 0)
+    _check_number(f"{path}.price", plan.price, 0)
+    _check_number(f"{path}.over_quota_cost", plan.over_quota_cost, 0)
+    _check_number(f"{path}.over_quota_weight", plan.over_quota_weight, 0)
 
 
 def _check_limits(settings: Settings) -> None:
@@ -218,9 +218,9 @@
     _check_number("max_retry_after", settings.max_retry_after, 0)
     _check_number("poll_interval", settings.poll_interval, 0, exclusive=True)
     _check_number("counter_timeout", settings.counter_timeout, 0, exclusive=settings.has_counter)
-    _check_number("max_received_gossip_per_second", settings.max_received_gossip_per_second, 0)
+    _check_number("gossip_intake_per_second", settings.gossip_intake_per_second, 0)
     _check_number("meter_period", settings.meter_period, 0)
-    _check_number("max_units_per_request", settings.max_units_per_request, 0)
+    _check_number("max_units", settings.max_units, 0)
 
 
 def _check_slow_start(settings: Settings) -> None:
--- a/limiter/policy/admission.py
+++ b/limiter/policy/admission.py
@@ -85,7 +85,7 @@
     def _create_open_request(self, now: float, request: ClientRequest, customer: Customer) -> OpenRequest:
         request_class = self.context.settings.request_classes[request.request_class]
         response_deadline = request.expires_at
-        if request_class.late_weight_fraction <= 0:
+        if request_class.late_weight <= 0:
             # A late response has no value, so the request ends at its latency objective, which frees its
             # capacity for other requests.
             response_deadline = min(response_deadline, now + request_class.latency_objective)
--- a/limiter/policy/usage_gossip.py
+++ b/limiter/policy/usage_gossip.py
@@ -59,7 +59,7 @@
         """Start with nothing to send and nothing received."""
         settings = context.settings
         peers = settings.limiter_count - 1
-        intake_per_second = settings.max_received_gossip_per_second
+        intake_per_second = settings.gossip_intake_per_second
         self._context = context
         self._plans = settings.plans
         self.is_enabled = settings.may_gossip and intake_per_second > 0 and peers > 0
--- a/limiter/transport/clients/http_request.py
+++ b/limiter/transport/clients/http_request.py
@@ -127,7 +127,7 @@
             1 <= weight.limiter_set_size <= limiter_count and weight.limiter_set_start < limiter_count
         )
         plan = self._settings.plans[plan_index]
-        max_units = self._settings.max_units_per_request
+        max_units = self._settings.max_units
         if plan.rate > 0:
             max_units = min(max_units, plan.burst)
         if not is_limiter_set_valid or not 0 < weight.units <= max_units:
--- a/scale/hollow/limiters.py
+++ b/scale/hollow/limiters.py
@@ -240,7 +240,7 @@
         may_cancel=True,
         has_counter=True,
         may_gossip=True,
-        max_received_gossip_per_second=experiment.network.peer_intake,
+        gossip_intake_per_second=experiment.network.peer_intake,
         counter_timeout=experiment.counter.timeout,
         slow_start_capacity=servers.slow_start_capacity,
         slow_start_duration=servers.slow_start_duration,
@@ -255,7 +255,7 @@
         parameters.deadline,
         Idempotency.IDEMPOTENT if parameters.is_idempotent else Idempotency.NOT_IDEMPOTENT,
         priority_weight=parameters.priority_weight,
-        late_weight_fraction=parameters.late_weight,
+        late_weight=parameters.late_weight,
     )
 
 
@@ -265,5 +265,5 @@
         rate=0.0 if is_capped else parameters.rate,
         burst=0.0 if is_capped else parameters.burst,
         max_concurrency=parameters.max_concurrency,
-        priority_factor=parameters.price,
+        price=parameters.price,
     )
--- a/tests/configuration/test_settings_forms.py
+++ b/tests/configuration/test_settings_forms.py
@@ -52,12 +52,12 @@
 )
 def test_numbers_in_each_way_that_json_can_state_them(value: object, number: float) -> None:
     """An integer beyond the range of floats counts as infinite, as it does in the text form."""
-    assert read_settings(read_json(extra={"maxUnits": value})).max_units_per_request == number
+    assert read_settings(read_json(extra={"maxUnits": value})).max_units == number
 
 
 def test_negative_zero_reads_as_zero() -> None:
     """The sign would show in a message about the value."""
-    value = read_settings(read_json(extra={"maxUnits": -0.0})).max_units_per_request
+    value = read_settings(read_json(extra={"maxUnits": -0.0})).max_units
     assert math.copysign(1.0, value) == 1.0
 
 
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -82,7 +82,7 @@
     unresponsive_servers: int, is_stalled: bool
 ) -> None:
     """Recorded incidents ie77502 and ic1606d: one unresponsive server made the whole fleet look full."""
-    late_answers_count = RequestClass(latency_objective=1000.0, deadline=60000.0, late_weight_fraction=0.2)
+    late_answers_count = RequestClass(latency_objective=1000.0, deadline=60000.0, late_weight=0.2)
     driver = make_driver(
         server_count=8, plans=NO_QUOTA, max_attempts=1, request_classes=(late_answers_count,)
     )
--- a/tests/policy/test_discovery_backoff.py
+++ b/tests/policy/test_discovery_backoff.py
@@ -80,9 +80,7 @@
 @pytest.fixture
 def polling_driver() -> PolicyDriver:
     """A limiter that polls discovery and gossips, with an up to date list of servers 0 and 1."""
-    return make_driver(
-        server_count=2, may_gossip=True, max_received_gossip_per_second=40.0, polls_discovery=True
-    )
+    return make_driver(server_count=2, may_gossip=True, gossip_intake_per_second=40.0, polls_discovery=True)
 
 
 def test_peer_reports_stop_sends_only_while_the_own_list_is_stale(polling_driver: PolicyDriver) -> None:
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -227,7 +227,7 @@
         Idempotency.IDEMPOTENCY_KEY,
         DedupScope.ZONE,
         dedup_window=2000.0,
-        late_weight_fraction=0.2,
+        late_weight=0.2,
     )
     driver = make_driver(request_classes=(request_class,))
     driver.request(1, patience=6000.0)
@@ -241,7 +241,7 @@
     late_weight: float, timeout: float
 ) -> None:
     """Limiters whose attempts lasted for the client's whole patience rejected the new requests."""
-    request_class = RequestClass(1000.0, 4000.0, late_weight_fraction=late_weight)
+    request_class = RequestClass(1000.0, 4000.0, late_weight=late_weight)
     driver = make_driver(max_attempts=1, request_classes=(request_class,))
     driver.request(1)
     [sent] = driver.in_flight()
--- a/tests/policy/test_usage_gossip.py
+++ b/tests/policy/test_usage_gossip.py
@@ -24,7 +24,7 @@
 def gossip_settings(limiters: int = LIMITERS, **changes: object) -> Settings:
     """Settings of a limiter that may gossip, with the default plans unless `changes` has others."""
     return settings(
-        limiter_count=limiters, may_gossip=True, max_received_gossip_per_second=INTAKE_PER_SECOND, **changes
+        limiter_count=limiters, may_gossip=True, gossip_intake_per_second=INTAKE_PER_SECOND, **changes
     )
 
 
@@ -41,7 +41,7 @@
         limiter_count=limiters,
         plans=PLANS,
         may_gossip=True,
-        max_received_gossip_per_second=INTAKE_PER_SECOND,
+        gossip_intake_per_second=INTAKE_PER_SECOND,
     )
 
 
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -123,7 +123,7 @@
         limiter_index=limiter,
         limiter_count=limiters,
         may_gossip=True,
-        max_received_gossip_per_second=40.0,
+        gossip_intake_per_second=40.0,
         polls_discovery=True,
     )
     return PolicyEngine(made, seed=limiter)
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -52,7 +52,7 @@
 RETRY_SHARE = 0.5
 RETRY_DELAY_MS = (50, 400)
 REQUEST_CLASSES = (
-    RequestClass(1200.0, CLIENT_TIMEOUT_MS, late_weight_fraction=0.2),
+    RequestClass(1200.0, CLIENT_TIMEOUT_MS, late_weight=0.2),
     RequestClass(1000.0, CLIENT_TIMEOUT_MS, Idempotency.NOT_IDEMPOTENT),
 )
 
@@ -260,7 +260,7 @@
         max_attempts=4,
         may_cancel=True,
         may_gossip=True,
-        max_received_gossip_per_second=40.0,
+        gossip_intake_per_second=40.0,
         slow_start_capacity=SLOW_START_CAPACITY,
         slow_start_duration=SLOW_START_MS,
         slow_start_overload=OVERLOAD_FACTOR,
