--- a/limiter/__main__.py
+++ b/limiter/__main__.py
@@ -11,8 +11,8 @@
 import uvloop
 
 from limiter.configuration.config import ConfigError
-from limiter.configuration.config_loader import load
-from limiter.process.startup import raise_descriptor_limit, run
+from limiter.configuration.config_loader import load_config
+from limiter.process.startup import raise_descriptor_limit, run_limiter
 
 
 def main() -> int:
@@ -21,9 +21,9 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
         max_descriptors = raise_descriptor_limit(config.max_descriptors)
-        uvloop.run(run(replace(config, max_descriptors=max_descriptors)))
+        uvloop.run(run_limiter(replace(config, max_descriptors=max_descriptors)))
     except ConfigError as error:
         print(f"limiter: {error}", file=sys.stderr)
         return 1
--- a/limiter/codecs/gossip_messages.py
+++ b/limiter/codecs/gossip_messages.py
@@ -33,15 +33,15 @@
 MAX_MESSAGE_BYTES = 256  # The operators' limit on a datagram between limiters.
 HEADER = struct.Struct(">BH")
 GROUP_HEADER = struct.Struct(">BB")
-MAX_IN_FLIGHT = 255  # The header states attempts in flight in one byte.
+MAX_ATTEMPTS_IN_FLIGHT = 255  # The header states attempts in flight in one byte.
 MAX_LATENCY_MS = 65_535  # The header states their latency in two bytes.
-MAX_PLAN = 255  # A group header states the index of its plan in one byte.
+MAX_PLAN_INDEX = 255  # A group header states the index of its plan in one byte.
 ENTRY_BYTES = 5
 UNIT_BITS = 7  # The low bits of an entry state its units, the other bits its customer.
 MAX_ENTRY_UNITS = 2**UNIT_BITS - 1
 CUSTOMER_LIMIT = 2 ** (8 * ENTRY_BYTES - UNIT_BITS)
-REPORT_PREFIX = b"\x00\x00\x00\xff"
-_POLL_FLAG_OFFSET = len(REPORT_PREFIX)
+ENDPOINT_REPORT_PREFIX = b"\x00\x00\x00\xff"
+_POLL_FLAG_OFFSET = len(ENDPOINT_REPORT_PREFIX)
 _IDS_OFFSET = _POLL_FLAG_OFFSET + 1
 
 
@@ -57,17 +57,17 @@
     """A limiter's load and the usage of customers through it.
 
     Attributes:
-        in_flight: Attempts in flight at the sender.
-        latency_ms: Their mean latency in milliseconds.
+        attempts_in_flight: Attempts in flight at the sender.
+        mean_latency_ms: Their mean latency in milliseconds.
         entries: Usage of customers, in the order of the message.
     """
 
-    in_flight: int
-    latency_ms: int
+    attempts_in_flight: int
+    mean_latency_ms: int
     entries: list[UsageEntry]
 
 
-class UsageWriter:
+class UsageMessageEncoder:
     """Collects the entries of one usage message until it is full.
 
     Attributes:
@@ -82,12 +82,12 @@
             latency_ms: Mean latency of the sender's attempts in milliseconds.
         """
         stated_latency_ms = min(MAX_LATENCY_MS, round(latency_ms))
-        self._body = bytearray(HEADER.pack(min(in_flight, MAX_IN_FLIGHT), stated_latency_ms))
+        self._body = bytearray(HEADER.pack(min(in_flight, MAX_ATTEMPTS_IN_FLIGHT), stated_latency_ms))
         self._groups: dict[int, list[bytes]] = {}
         self._size = HEADER.size
         self.is_full = False
 
-    def add(self, plan: int, customer: int, units: int) -> int:
+    def add_entry(self, plan: int, customer: int, units: int) -> int:
         """Write an entry and return how many of its units it states.
 
         Returns:
@@ -95,7 +95,7 @@
             units, the plan or customer is too large for an entry, or the message is full.
         """
         written: int = min(MAX_ENTRY_UNITS, units)
-        if written < 1 or plan > MAX_PLAN or customer >= CUSTOMER_LIMIT:
+        if written < 1 or plan > MAX_PLAN_INDEX or customer >= CUSTOMER_LIMIT:
             return 0
         self._size += ENTRY_BYTES + (0 if plan in self._groups else GROUP_HEADER.size)
         if self._size > MAX_MESSAGE_BYTES:
@@ -105,7 +105,7 @@
         self._groups.setdefault(plan, []).append(entry.to_bytes(ENTRY_BYTES))
         return written
 
-    def message(self) -> bytes:
+    def encode(self) -> bytes:
         """Return the encoded message. Call it once, after the last entry."""
         for plan, entries in self._groups.items():
             self._body += GROUP_HEADER.pack(plan, len(entries))
@@ -113,7 +113,7 @@
         return bytes(self._body)
 
 
-def decode_usage(body: bytes, plan_count: int) -> UsageMessage | None:
+def decode_usage_message(body: bytes, plan_count: int) -> UsageMessage | None:
     """Decode a usage message; return None if it is malformed or names a plan that doesn't exist."""
     entries: list[UsageEntry] = []
     offset = HEADER.size
@@ -147,26 +147,27 @@
     endpoint_ids: list[EndpointId]
 
 
-class EncodedReport(NamedTuple):
+class EncodedEndpointReport(NamedTuple):
     """An endpoint report as it is sent.
 
     Attributes:
         body: The message.
-        done_ids: Ids that need no further message: those in this one, and those too long for any message.
+        processed_ids: Ids that need no further message: those in this one, and those too long for any
+            message.
     """
 
     body: bytes
-    done_ids: list[EndpointId]
+    processed_ids: list[EndpointId]
 
 
-def encode_report(has_polled: bool, endpoint_ids: Iterable[EndpointId]) -> EncodedReport:
+def encode_endpoint_report(has_polled: bool, endpoint_ids: Iterable[EndpointId]) -> EncodedEndpointReport:
     """Encode one endpoint report with as many of the ids as fit.
 
     Args:
         has_polled: Whether the sender has just polled discovery.
         endpoint_ids: Ids of servers that are draining or removed, the first to be sent first.
     """
-    body = bytearray(REPORT_PREFIX)
+    body = bytearray(ENDPOINT_REPORT_PREFIX)
     body.append(has_polled)
     done_ids = []
     for endpoint_id in endpoint_ids:
@@ -177,15 +178,15 @@
             body.append(len(endpoint_id))
             body += endpoint_id
         done_ids.append(endpoint_id)
-    return EncodedReport(bytes(body), done_ids)
+    return EncodedEndpointReport(bytes(body), done_ids)
 
 
-def is_report(body: bytes) -> bool:
+def is_endpoint_report(body: bytes) -> bool:
     """Return whether a message is an endpoint report, well-formed or not."""
-    return body.startswith(REPORT_PREFIX)
+    return body.startswith(ENDPOINT_REPORT_PREFIX)
 
 
-def decode_report(body: bytes) -> EndpointReport | None:
+def decode_endpoint_report(body: bytes) -> EndpointReport | None:
     """Decode an endpoint report; return None if an id of it is empty or cut short."""
     endpoint_ids = []
     offset = _IDS_OFFSET
--- a/limiter/configuration/config_loader.py
+++ b/limiter/configuration/config_loader.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable, Mapping
 
 from limiter.configuration.config import Config, ConfigError
-from limiter.configuration.config_parser import parse
+from limiter.configuration.config_parser import parse_config
 
 
-def load(environ: Mapping[str, str]) -> Config:
+def load_config(environ: Mapping[str, str]) -> Config:
     """Read the configuration at start; environment variables, where set, override keys of the file.
 
     Raises:
@@ -17,10 +17,10 @@
     """
     document = _read_document(environ)
     _override(document, environ, ("name", "listen", "discovery"))
-    return parse(document)
+    return parse_config(document)
 
 
-def reload(environ: Mapping[str, str]) -> Config:
+def reload_config(environ: Mapping[str, str]) -> Config:
     """Read the configuration again while the process runs.
 
     Here `discovery` of the file overrides that of the environment, other than at start: the environment of a
@@ -34,7 +34,7 @@
     discovery = environ.get("RELAY_DISCOVERY")
     if discovery:
         document.setdefault("discovery", discovery)
-    return parse(document)
+    return parse_config(document)
 
 
 def _override(document: dict[str, object], environ: Mapping[str, str], keys: Iterable[str]) -> None:
--- a/limiter/configuration/config_parser.py
+++ b/limiter/configuration/config_parser.py
@@ -23,7 +23,7 @@
 NOT_A_LIST = "not a list of objects"
 
 
-def parse(document: Mapping[str, object]) -> Config:
+def parse_config(document: Mapping[str, object]) -> Config:
     """Check a configuration document, which is the JSON object of the file with the environment's overrides.
 
     Raises:
@@ -41,18 +41,18 @@
     gossip = _parse_gossip(document, settings)
     return Config(
         name=str(document.get("name", "limiter")),
-        listen=_parse_address(document, "listen"),
-        discovery=_parse_address(document, "discovery"),
-        counter=counter,
+        listen_address=_parse_address(document, "listen"),
+        discovery_address=_parse_address(document, "discovery"),
+        counter_address=counter,
         gossip=gossip,
         seed=_parse_seed(document.get("seed")),
         max_descriptors=_parse_descriptors(document.get("limits")),
-        known_endpoints=document.get("known"),
+        configured_endpoints=document.get("known"),
         settings=replace(settings, may_gossip=gossip is not None),
         class_names=_parse_unique_names(raw, "classes"),
         plan_names=_parse_unique_names(raw, "contracts"),
         zone_names=_parse_words(raw, "localities"),
-        kind_names=_parse_words(raw, "models"),
+        machine_type_names=_parse_words(raw, "models"),
         dial_timeout_ms=dial_timeout_ms,
         keepalive_ms=keepalive_ms,
     )
--- a/limiter/configuration/settings_reader.py
+++ b/limiter/configuration/settings_reader.py
@@ -154,7 +154,7 @@
     )
 
 
-def read_load_fields(reader: SettingsReader) -> tuple[LoadMetric | None, ...]:
+def read_load_report_metrics(reader: SettingsReader) -> tuple[LoadMetric | None, ...]:
     """Return the metrics of a load report in order; None stands for one that is unknown here."""
     names = reader.read_text("report.fields", "")
     if not names:
--- a/limiter/policy/discovery_backoff.py
+++ b/limiter/policy/discovery_backoff.py
@@ -12,7 +12,7 @@
 
 import math
 
-from limiter.codecs.gossip_messages import decode_report, encode_report, is_report
+from limiter.codecs.gossip_messages import decode_endpoint_report, encode_endpoint_report, is_endpoint_report
 from limiter.model.actions import BroadcastGossip, PollDiscovery
 from limiter.model.events import DiscoveryPollFailed, EndpointId, EndpointsChanged, EndpointState
 from limiter.policy.context import EngineContext, TimerToken
@@ -213,16 +213,16 @@
             self.unannounced_ids = dict.fromkeys(filter(self._needs_report, self.unannounced_ids))
             if not self.unannounced_ids:
                 return None
-        body, encoded_ids = encode_report(is_poll_announced, self.unannounced_ids)
+        body, encoded_ids = encode_endpoint_report(is_poll_announced, self.unannounced_ids)
         for endpoint_id in encoded_ids:
             del self.unannounced_ids[endpoint_id]
         return body
 
     def handle_gossip_message(self, body: bytes) -> bool:
         """Handle a peer's report of polls and servers; return False if the message is of another type."""
-        if not self.may_gossip or not is_report(body):
+        if not self.may_gossip or not is_endpoint_report(body):
             return False
-        report = decode_report(body)
+        report = decode_endpoint_report(body)
         if report is None:
             return True  # A malformed message is ignored.
         self.polls_in_slot += report.has_polled
--- a/limiter/policy/usage_gossip.py
+++ b/limiter/policy/usage_gossip.py
@@ -10,7 +10,7 @@
 import math
 from typing import NamedTuple
 
-from limiter.codecs.gossip_messages import UsageWriter, decode_usage
+from limiter.codecs.gossip_messages import UsageMessageEncoder, decode_usage_message
 from limiter.model.actions import BroadcastGossip
 from limiter.model.events import ClientRequest
 from limiter.policy.context import EngineContext, TimerToken
@@ -135,9 +135,9 @@
 
         Fractions of a unit stay unsent.
         """
-        writer = UsageWriter(in_flight, latency)
+        writer = UsageMessageEncoder(in_flight, latency)
         for key, units in list(self._unsent.items()):
-            written = writer.add(*key, math.floor(units + UNITS_TOLERANCE))
+            written = writer.add_entry(*key, math.floor(units + UNITS_TOLERANCE))
             if writer.is_full:
                 break
             if not written:
@@ -146,14 +146,14 @@
                 self._unsent[key] = units - written
             else:
                 del self._unsent[key]
-        return writer.message()
+        return writer.encode()
 
     def receive(self, now: float, body: bytes) -> None:
         """Take in a message of another limiter; a malformed one is ignored as a whole."""
-        message = decode_usage(body, len(self._context.settings.plans))
+        message = decode_usage_message(body, len(self._context.settings.plans))
         if message is None or not self.is_enabled:
             return
         self.last_message_at = now
-        self.peer_load.add_message(now, message.in_flight, message.latency_ms)
+        self.peer_load.add_message(now, message.attempts_in_flight, message.mean_latency_ms)
         for entry in message.entries:
             self.get_usage(now, entry.customer, entry.plan).record_forwarded_units(entry.units)
--- a/limiter/process/reload.py
+++ b/limiter/process/reload.py
@@ -7,7 +7,7 @@
 
 from limiter.configuration.addresses import Address
 from limiter.configuration.config import ConfigError
-from limiter.configuration.config_loader import reload
+from limiter.configuration.config_loader import reload_config
 from limiter.transport.driver.proxy import Proxy
 
 log = logging.getLogger("limiter")
@@ -20,17 +20,17 @@
     stop the service.
     """
     try:
-        config = reload(os.environ)
+        config = reload_config(os.environ)
     except ConfigError as error:
         _log_rejected(error)
         return
-    proxy.discovery.change_address(config.discovery)
-    if proxy.counter is not None and config.counter is not None:
-        proxy.counter.change_address(config.counter)
+    proxy.discovery.change_address(config.discovery_address)
+    if proxy.counter is not None and config.counter_address is not None:
+        proxy.counter.change_address(config.counter_address)
     log.info(
         "configuration_reloaded discovery=%s counter=%s",
-        _format_address(config.discovery),
-        _format_address(config.counter),
+        _format_address(config.discovery_address),
+        _format_address(config.counter_address),
     )
 
 
--- a/limiter/process/shutdown.py
+++ b/limiter/process/shutdown.py
@@ -35,7 +35,7 @@
 log = logging.getLogger("limiter")
 
 
-def shutdown_seconds(settings: Settings) -> float:
+def compute_shutdown_seconds(settings: Settings) -> float:
     """Return the seconds from SIGTERM until the requests that are unanswered are ended."""
     longest_deadline_ms = max(request_class.deadline for request_class in settings.request_classes)
     kill_after = min(MAX_DEADLINE_SECONDS, longest_deadline_ms / 1000) + KILL_DELAY_SECONDS
@@ -46,7 +46,7 @@
     """Finish the requests in hand, as far as there is time for them, and close all client connections."""
     log.info("stopping unanswered_requests=%d", len(proxy.requests.list_unanswered()))
     loop = asyncio.get_running_loop()
-    requests_end_at = loop.time() + shutdown_seconds(proxy.settings)
+    requests_end_at = loop.time() + compute_shutdown_seconds(proxy.settings)
     listener.start_draining()
     await asyncio.sleep(ACCEPT_AFTER_SIGTERM_SECONDS)
     listener.stop_accepting()
--- a/limiter/process/startup.py
+++ b/limiter/process/startup.py
@@ -23,7 +23,7 @@
 log = logging.getLogger("limiter")
 
 
-async def run(config: Config) -> None:
+async def run_limiter(config: Config) -> None:
     """Serve clients until SIGTERM or SIGINT.
 
     Raises:
@@ -33,7 +33,7 @@
     loop = asyncio.get_running_loop()
     clock = Clock()
     with closing(Proxy(config, clock)) as proxy:
-        proxy.discovery.load_configured_endpoints(config.known_endpoints)
+        proxy.discovery.load_configured_endpoints(config.configured_endpoints)
         stop_requested = asyncio.Event()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, stop_requested.set)
--- a/limiter/simulator/adapter.py
+++ b/limiter/simulator/adapter.py
@@ -13,17 +13,17 @@
 from typing import BinaryIO
 
 from limiter.codecs.settings_text import decode_settings_text
-from limiter.configuration.settings_reader import SettingsReader, read_load_fields, read_settings
+from limiter.configuration.settings_reader import SettingsReader, read_load_report_metrics, read_settings
 from limiter.model.events import Event, LoadMetric
 from limiter.policy.engine import PolicyEngine
 from limiter.simulator.action_encoder import encode_action
 from limiter.simulator.errors import WireError
 from limiter.simulator.event_decoder import EventDecoder
 from limiter.simulator.frames import Batch, encode_reply, read_batch
-from limiter.simulator.records import InstanceClosed, InstanceOpened, UndecodedLoadReport
+from limiter.simulator.records import EventWithRawLoadReport, InstanceClosed, InstanceOpened
 
 
-class HostedLimiter:
+class SimulatedLimiter:
     """One simulated limiter: its policy engine, and the order of the values in its load reports."""
 
     __slots__ = ("_load_fields", "engine")
@@ -35,10 +35,10 @@
             SettingsError: a setting is missing or cannot be used.
         """
         reader = SettingsReader(decode_settings_text(opened.settings_text))
-        self._load_fields = read_load_fields(reader)
+        self._load_fields = read_load_report_metrics(reader)
         self.engine = PolicyEngine(read_settings(reader), opened.seed)
 
-    def decode_load_report(self, undecoded: UndecodedLoadReport) -> Event:
+    def decode_load_report(self, undecoded: EventWithRawLoadReport) -> Event:
         """Return the event with its load report; values of unknown metrics are left out."""
         load_report: dict[LoadMetric, float] = {}
         for metric, value in zip(self._load_fields, undecoded.values, strict=False):
@@ -53,9 +53,9 @@
     def __init__(self) -> None:
         """Create a host that has no instances yet."""
         self._decoder = EventDecoder()
-        self._limiters: dict[int, HostedLimiter] = {}
+        self._limiters: dict[int, SimulatedLimiter] = {}
 
-    def handle(self, batch: Batch) -> bytes:
+    def process_batch(self, batch: Batch) -> bytes:
         """Give each record of the batch to its instance; return the framed reply with their actions.
 
         Raises:
@@ -65,7 +65,7 @@
         actions = bytearray()
         for instance, record in self._decoder.decode(batch.body, batch.record_count):
             if isinstance(record, InstanceOpened):
-                self._limiters[instance] = HostedLimiter(record)
+                self._limiters[instance] = SimulatedLimiter(record)
                 continue
             if isinstance(record, InstanceClosed):
                 self._limiters.pop(instance, None)
@@ -73,7 +73,9 @@
             limiter = self._limiters.get(instance)
             if limiter is None:
                 continue  # The instance is closed, so its late events have no receiver.
-            event = limiter.decode_load_report(record) if isinstance(record, UndecodedLoadReport) else record
+            event = (
+                limiter.decode_load_report(record) if isinstance(record, EventWithRawLoadReport) else record
+            )
             for action in limiter.engine.handle(batch.now, event):
                 actions += encode_action(instance, action)
         return encode_reply(actions)
@@ -88,7 +90,7 @@
     """
     host = AdapterHost()
     while (batch := read_batch(source)) is not None:
-        sink.write(host.handle(batch))
+        sink.write(host.process_batch(batch))
         sink.flush()
 
 
--- a/limiter/simulator/event_decoder.py
+++ b/limiter/simulator/event_decoder.py
@@ -28,7 +28,7 @@
 )
 from limiter.simulator.errors import WireError, WireFault
 from limiter.simulator.record_reader import Pages, RecordReader
-from limiter.simulator.records import InstanceClosed, InstanceOpened, Record, UndecodedLoadReport
+from limiter.simulator.records import EventWithRawLoadReport, InstanceClosed, InstanceOpened, Record
 
 
 class EventCode(IntEnum):
@@ -183,14 +183,14 @@
     )
     if not load_value_count:
         return instance, event
-    return instance, UndecodedLoadReport(event, reader.read(_FLOATS[load_value_count]))
+    return instance, EventWithRawLoadReport(event, reader.read(_FLOATS[load_value_count]))
 
 
 def _decode_health_check_ended(reader: RecordReader) -> AddressedRecord:
     instance, endpoint_id, outcome_code, latency, load_value_count = reader.read(_HEALTH_CHECK_ENDED)
     load_values = reader.read(_FLOATS[load_value_count])
     event = HealthCheckEnded(endpoint_id, _outcome(outcome_code), latency)
-    return instance, UndecodedLoadReport(event, load_values)
+    return instance, EventWithRawLoadReport(event, load_values)
 
 
 def _decode_timer_fired(reader: RecordReader) -> AddressedRecord:
--- a/limiter/simulator/records.py
+++ b/limiter/simulator/records.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UndecodedLoadReport:
+class EventWithRawLoadReport:
     """An event whose load report can only be read with the field order in the instance's settings.
 
     Attributes:
@@ -38,4 +38,4 @@
     values: tuple[float, ...]
 
 
-Record = InstanceOpened | InstanceClosed | UndecodedLoadReport | Event
+Record = InstanceOpened | InstanceClosed | EventWithRawLoadReport | Event
--- a/limiter/transport/clients/listener.py
+++ b/limiter/transport/clients/listener.py
@@ -36,15 +36,15 @@
     def __init__(self, config: Config, proxy: Proxy, clock: Clock) -> None:
         """Start to listen in the running event loop; raise OSError if the address cannot be bound."""
         self._loop = asyncio.get_running_loop()
-        max_connections = config.descriptor_share(CLIENT_DESCRIPTOR_SHARE)
+        max_connections = config.compute_descriptor_budget(CLIENT_DESCRIPTOR_SHARE)
         max_overflow_connections = max(
-            MIN_OVERFLOW_CONNECTIONS, config.descriptor_share(OVERFLOW_DESCRIPTOR_SHARE)
+            MIN_OVERFLOW_CONNECTIONS, config.compute_descriptor_budget(OVERFLOW_DESCRIPTOR_SHARE)
         )
         self._max_accepted_connections = max_connections + max_overflow_connections
         self.registry = ConnectionRegistry(max_connections)
         self._handler = ProxyRequestHandler(config, proxy, clock)
         self._setup_tasks: set[asyncio.Task[None]] = set()
-        self.socket = _open_listening_socket(config.listen)
+        self.socket = _open_listening_socket(config.listen_address)
         self._loop.add_reader(self.socket, self._accept_batch)
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -77,7 +77,7 @@
         self.server_pool = ServerPool(
             dial_timeout_ms=config.dial_timeout_ms,
             keepalive_ms=config.keepalive_ms,
-            max_connections=config.descriptor_share(SERVER_DESCRIPTOR_SHARE),
+            max_connections=config.compute_descriptor_budget(SERVER_DESCRIPTOR_SHARE),
         )
         self.forwarder = RequestForwarder(clock, config.settings, self.server_pool, self._handle_event)
         self.requests = self.forwarder.requests
@@ -89,10 +89,10 @@
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     def _make_counter_client(self, config: Config) -> CounterClient | None:
-        if config.counter is None:
+        if config.counter_address is None:
             return None
         options = CounterClientOptions(
-            address=config.counter,
+            address=config.counter_address,
             timeout_ms=config.settings.counter_timeout,
             dial_timeout_ms=config.dial_timeout_ms,
         )
@@ -106,8 +106,8 @@
     def _make_discovery_watch(self, config: Config) -> DiscoveryWatch:
         settings = config.settings
         options = DiscoveryWatchOptions(
-            address=config.discovery,
-            names=NameNumbering(config.zone_names, config.kind_names),
+            address=config.discovery_address,
+            names=NameNumbering(config.zone_names, config.machine_type_names),
             dial_timeout_ms=config.dial_timeout_ms,
             pacing=PollPacing.for_fleet(
                 settings.limiter_count, uses_local_agent=not settings.polls_discovery
--- a/limiter/transport/gossip/gossip_socket.py
+++ b/limiter/transport/gossip/gossip_socket.py
@@ -35,11 +35,11 @@
         """
         self._own_index = own_index
         self._on_message = on_message
-        self._member_indices = {member: index for index, member in enumerate(config.members)}
+        self._member_indices = {member: index for index, member in enumerate(config.limiter_addresses)}
         self._broadcast_addresses = _select_broadcast_addresses(config, own_index)
         # The last send failed. Reset by a success, so that a persistent failure is logged once.
         self._has_send_failed = False
-        self._socket = _bind_socket(config.listen)
+        self._socket = _bind_socket(config.listen_address)
         self._loop = asyncio.get_running_loop()
         self._loop.add_reader(self._socket, self._read_messages)
 
@@ -77,9 +77,9 @@
 
 def _select_broadcast_addresses(config: GossipConfig, own_index: int) -> list[Address]:
     """Return the shared address that reaches all members, if any, or the addresses of all other members."""
-    if config.everyone:
-        return [config.everyone]
-    return [member for index, member in enumerate(config.members) if index != own_index]
+    if config.broadcast_address:
+        return [config.broadcast_address]
+    return [member for index, member in enumerate(config.limiter_addresses) if index != own_index]
 
 
 def _bind_socket(listen: Address) -> socket.socket:
--- a/scale/hollow/gossip_age.py
+++ b/scale/hollow/gossip_age.py
@@ -24,7 +24,7 @@
 
 def decode_usage(sender: PolicyEngine, body: bytes) -> Iterable[tuple[int, float]]:
     """Customers of a gossip message, and the units that it reports for each."""
-    message = gossip_messages.decode_usage(body, len(sender.context.settings.plans))
+    message = gossip_messages.decode_usage_message(body, len(sender.context.settings.plans))
     entries = message.entries if message is not None else None
     return [(customer, units) for _, customer, units in entries or ()]
 
--- a/scale/process/engine_benchmark.py
+++ b/scale/process/engine_benchmark.py
@@ -6,7 +6,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from limiter.configuration.config_parser import parse
+from limiter.configuration.config_parser import parse_config
 from limiter.model.actions import Action, IncrementCounter, SendAttempt, SetTimer
 from limiter.model.events import (
     AttemptEnded,
@@ -62,7 +62,7 @@
         self.now = START_MS
         self.gossip_senders: set[int] = set()  # limiters whose messages the engine took in
         self.processor_ns = {name: HdrHistogram(1, MAX_EVENT_NS, 3) for name in EVENT_NAMES}
-        self._engine = PolicyEngine(parse(document).settings, seed)
+        self._engine = PolicyEngine(parse_config(document).settings, seed)
         self._limiter_set_size = min(float(MAX_LIMITER_SET_SIZE), float(limiters))
         self._last_round_at = -UPDATE_INTERVAL_MS
 
--- a/scale/process/fleet.py
+++ b/scale/process/fleet.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from limiter.codecs.gossip_messages import UsageWriter
+from limiter.codecs.gossip_messages import UsageMessageEncoder
 
 # Gossip messages a second that a limiter takes in.
 GOSSIP_INTAKE_PER_S = 40
@@ -57,7 +57,7 @@
     """Make a message of another limiter that reports one forwarded unit for each customer."""
     in_flight = rng.randrange(3)
     mean_latency_ms = rng.randrange(100, 300)
-    writer = UsageWriter(in_flight, mean_latency_ms)
+    writer = UsageMessageEncoder(in_flight, mean_latency_ms)
     for customer in customers:
-        writer.add(plan_of(customer), customer, units=1)
-    return writer.message()
+        writer.add_entry(plan_of(customer), customer, units=1)
+    return writer.encode()
--- a/tests/policy/test_discovery_backoff.py
+++ b/tests/policy/test_discovery_backoff.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limiter.codecs.gossip_messages import MAX_MESSAGE_BYTES, REPORT_PREFIX, decode_report
+from limiter.codecs.gossip_messages import ENDPOINT_REPORT_PREFIX, MAX_MESSAGE_BYTES, decode_endpoint_report
 from limiter.model.actions import PollDiscovery
 from limiter.model.events import (
     DiscoveryPollFailed,
@@ -34,7 +34,7 @@
 
 def removal_report(server: bytes) -> bytes:
     """A peer's message that reports one server as draining or gone, and no poll."""
-    return REPORT_PREFIX + b"\x00" + bytes((len(server),)) + server
+    return ENDPOINT_REPORT_PREFIX + b"\x00" + bytes((len(server),)) + server
 
 
 def make_backoff(listed: Iterable[Endpoint] = ()) -> DiscoveryBackoff:
@@ -122,13 +122,13 @@
     while (body := sender.encode_next_message()) is not None:
         assert len(body) <= MAX_MESSAGE_BYTES
         assert receiver.handle_gossip_message(body)
-        report = decode_report(body)
+        report = decode_endpoint_report(body)
         assert report is not None
         received |= set(report.endpoint_ids)
     assert received == set(servers) == set(receiver.peer_report_counts)
 
 
-@pytest.mark.parametrize("body", [b"", b"\x00", REPORT_PREFIX[:3] + b"\x01\x01"])
+@pytest.mark.parametrize("body", [b"", b"\x00", ENDPOINT_REPORT_PREFIX[:3] + b"\x01\x01"])
 def test_a_message_of_another_kind_is_left_to_others(body: bytes) -> None:
     assert not make_backoff().handle_gossip_message(body)
 
@@ -136,10 +136,10 @@
 @pytest.mark.parametrize(
     "body",
     [
-        pytest.param(REPORT_PREFIX, id="no flag"),
-        pytest.param(REPORT_PREFIX + b"\x01", id="no servers"),
-        pytest.param(REPORT_PREFIX + b"\x00\x05abc", id="server cut short"),
-        pytest.param(REPORT_PREFIX + b"\x00\x00", id="empty server"),
+        pytest.param(ENDPOINT_REPORT_PREFIX, id="no flag"),
+        pytest.param(ENDPOINT_REPORT_PREFIX + b"\x01", id="no servers"),
+        pytest.param(ENDPOINT_REPORT_PREFIX + b"\x00\x05abc", id="server cut short"),
+        pytest.param(ENDPOINT_REPORT_PREFIX + b"\x00\x00", id="empty server"),
     ],
 )
 def test_a_malformed_or_empty_message_names_no_server(body: bytes) -> None:
--- a/tests/scale/test_process_emulated_peers.py
+++ b/tests/scale/test_process_emulated_peers.py
@@ -13,8 +13,8 @@
 import hiredis
 import pytest
 
-from limiter.codecs.gossip_messages import decode_usage
-from limiter.configuration.config_parser import parse
+from limiter.codecs.gossip_messages import decode_usage_message
+from limiter.configuration.config_parser import parse_config
 from limiter.model.events import Endpoint, EndpointState
 from limiter.model.settings import Settings
 from limiter.policy.context import EngineContext
@@ -56,7 +56,7 @@
         "peers": ["127.0.0.1:5"] * limiters,
         "settings": settings_document(limiters, "pushed"),
     }
-    return parse(document).settings
+    return parse_config(document).settings
 
 
 @asynccontextmanager
@@ -126,7 +126,7 @@
 def test_the_longest_gossip_message_fits_into_a_datagram() -> None:
     body = gossip_message(Random(1), range(48))
     assert len(body) <= MAX_DATAGRAM_BYTES
-    message = decode_usage(body, plan_count=3)
+    message = decode_usage_message(body, plan_count=3)
     assert message is not None
     assert sorted(entry.customer for entry in message.entries) == list(range(48))
 
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -8,7 +8,7 @@
 import pytest
 
 from limiter.codecs.settings_text import decode_settings_text
-from limiter.configuration.settings_reader import SettingsReader, read_load_fields, read_settings
+from limiter.configuration.settings_reader import SettingsReader, read_load_report_metrics, read_settings
 from limiter.model.events import LoadMetric
 from limiter.simulator.errors import WireError
 from tests.support.simulator_frames import (
@@ -83,5 +83,5 @@
 def test_unknown_keys_and_report_fields_are_skipped() -> None:
     """Settings and load metrics that the limiter does not know leave the others readable."""
     reader = SettingsReader(decode_settings_text(SETTINGS_TEXT))
-    assert read_load_fields(reader) == (LoadMetric.SERVICE_TIME, None, LoadMetric.THROUGHPUT)
+    assert read_load_report_metrics(reader) == (LoadMetric.SERVICE_TIME, None, LoadMetric.THROUGHPUT)
     assert read_settings(reader).limiter_count == 3
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -37,7 +37,7 @@
 )
 from limiter.simulator.action_encoder import encode_action
 from limiter.simulator.event_decoder import EventDecoder
-from limiter.simulator.records import InstanceClosed, Record, UndecodedLoadReport
+from limiter.simulator.records import EventWithRawLoadReport, InstanceClosed, Record
 from tests.support.simulator_frames import SERVER, endpoint_page, registry
 
 CLIENT_REQUEST_FRAME = "1400035d3a91c4000140000000000091f03b7c55d20a6400404000003f80000040c0e62000000000"
@@ -86,7 +86,9 @@
         (STREAM_STARTED_FRAME, StreamStarted(0x5D3A91C4, 0, SERVER, latency=9.25)),
         (
             HEALTH_CHECK_ENDED_FRAME,
-            UndecodedLoadReport(HealthCheckEnded(OTHER_SERVER, Outcome.OK, latency=1.4), values=(140.0, 3.0)),
+            EventWithRawLoadReport(
+                HealthCheckEnded(OTHER_SERVER, Outcome.OK, latency=1.4), values=(140.0, 3.0)
+            ),
         ),
         (GOSSIP_RECEIVED_FRAME, GossipReceived(sender=2, body=b"hi 7")),
         (INSTANCE_CLOSED_FRAME, InstanceClosed()),
--- a/tests/support/in_process_limiter.py
+++ b/tests/support/in_process_limiter.py
@@ -7,7 +7,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-from limiter.configuration.config_parser import parse
+from limiter.configuration.config_parser import parse_config
 from limiter.model.events import Endpoint, EndpointState
 from limiter.transport.clients.listener import Listener
 from limiter.transport.clock import Clock
@@ -31,7 +31,7 @@
         endpoint = Endpoint(server.key.encode(), EndpointState.READY)
         endpoints.append(ListedEndpoint(endpoint, ("127.0.0.1", server.port)))
     clock = Clock()
-    config = parse(configuration(seed="1"))
+    config = parse_config(configuration(seed="1"))
     proxy = Proxy(config, clock)
     proxy.apply_endpoint_list(endpoints, True)
     listener = Listener(config, proxy, clock)
--- a/tests/transport/test_gossip_socket.py
+++ b/tests/transport/test_gossip_socket.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from limiter.codecs.gossip_messages import REPORT_PREFIX
+from limiter.codecs.gossip_messages import ENDPOINT_REPORT_PREFIX
 from limiter.configuration.addresses import Address
 from limiter.configuration.config import ConfigError
-from limiter.configuration.config_parser import parse
+from limiter.configuration.config_parser import parse_config
 from tests.support.client import Response, http_request
 from tests.support.harness import HarnessOptions, LimiterHarness, limiter_with
 from tests.support.limiter_settings import settings, settings_with_quota
@@ -132,7 +132,7 @@
     assert float(response.headers["retry-after"]) > 0
 
 
-REJECTED_CALL_PREFIX = REPORT_PREFIX + b"\x01"
+REJECTED_CALL_PREFIX = ENDPOINT_REPORT_PREFIX + b"\x01"
 
 
 async def overload_discovery_while_a_server_drains(harness: LimiterHarness, peer: PeerSocket) -> None:
@@ -149,7 +149,7 @@
 ) -> None:
     """Once discovery responds again, its own list decides, and the limiter reports what drains by it."""
     await overload_discovery_while_a_server_drains(harness, peer)
-    peer.send(REPORT_PREFIX + b"\x00\x03s-0")
+    peer.send(ENDPOINT_REPORT_PREFIX + b"\x00\x03s-0")
     for index in range(8):
         assert (await send_for_customer(harness, str(index), 0xFACADE + index)).body == b"from s-1"
     harness.discovery.status = 200
@@ -180,12 +180,12 @@
         "peer_listen": "127.0.0.1:4",
         "peers": ["127.0.0.1:4", "127.0.0.1:5"],
     }
-    assert parse(document).settings.may_gossip
+    assert parse_config(document).settings.may_gossip
     with pytest.raises(ConfigError, match=key):
-        parse({**document, key: value})
+        parse_config({**document, key: value})
 
 
 def test_without_addresses_of_peers_there_is_no_gossip() -> None:
     made = settings(limits={**settings()["limits"], "peers": True})
     document = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "settings": made}
-    assert not parse(document).settings.may_gossip
+    assert not parse_config(document).settings.may_gossip
--- a/tests/transport/test_graceful_shutdown.py
+++ b/tests/transport/test_graceful_shutdown.py
@@ -116,5 +116,5 @@
     """The platform kills 0.7 s after the longest deadline, and 3.7 s after SIGTERM at the latest."""
     classes = (RequestClass(100.0, 200.0), RequestClass(100.0, longest_deadline_ms))
     settings = Settings(limiter_index=0, limiter_count=1, request_classes=classes, plans=(QuotaPlan(),))
-    ends_after_seconds = shutdown.shutdown_seconds(settings) + shutdown.FLUSH_SECONDS
+    ends_after_seconds = shutdown.compute_shutdown_seconds(settings) + shutdown.FLUSH_SECONDS
     assert kill_after_seconds - 0.3 < ends_after_seconds < kill_after_seconds
--- a/tests/transport/test_lifecycle.py
+++ b/tests/transport/test_lifecycle.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from limiter.configuration.config_parser import parse
+from limiter.configuration.config_parser import parse_config
 from limiter.model.actions import Action
 from limiter.model.events import Event, TimerFired
 from limiter.transport.clock import Clock
@@ -107,7 +107,7 @@
 async def test_the_policys_timers_never_fire_early() -> None:
     """The policy ignores a timer that fires before its time, and its housekeeping would stop for good."""
     clock = Clock()
-    proxy = Proxy(parse(configuration()), clock)
+    proxy = Proxy(parse_config(configuration()), clock)
     due_ms = {token: clock() + 10.0 + token for token in range(5)}
     recorder = TimerRecorder(due_ms)
     proxy.engine = recorder  # type: ignore[assignment]
--- a/tests/transport/test_sample_configuration.py
+++ b/tests/transport/test_sample_configuration.py
@@ -13,7 +13,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from limiter.configuration.config_loader import load
+from limiter.configuration.config_loader import load_config
 from tests.support.waiting import PATIENCE_SECONDS
 
 ROOT = Path(__file__).parents[2]
@@ -53,11 +53,11 @@
 
 
 def test_the_sample_configuration_is_valid_and_uses_loopback_addresses_only() -> None:
-    config = load({"RELAY_CONFIG": str(ROOT / SAMPLE)})
+    config = load_config({"RELAY_CONFIG": str(ROOT / SAMPLE)})
     assert config.name == "sample"
-    assert config.listen[0] == "127.0.0.1"
-    assert config.discovery[0] == "127.0.0.1"
-    assert config.counter is None
+    assert config.listen_address[0] == "127.0.0.1"
+    assert config.discovery_address[0] == "127.0.0.1"
+    assert config.counter_address is None
     assert config.gossip is None
     assert config.plan_names == ("unlimited", "standard")
 
--- a/tests/transport/test_startup.py
+++ b/tests/transport/test_startup.py
@@ -10,7 +10,7 @@
 import pytest
 
 from limiter.configuration.config import Config
-from limiter.configuration.config_parser import parse
+from limiter.configuration.config_parser import parse_config
 from limiter.process import startup
 from tests.support.client import Connection, Response, http_request
 from tests.support.fake_discovery import FakeDiscovery
@@ -50,7 +50,7 @@
         seed="1",
         known=known_list(*entries),
     )
-    return parse(document)
+    return parse_config(document)
 
 
 async def test_listening_waits_for_what_changed_since_the_known_list(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -64,7 +64,9 @@
     discovery.is_responding = False  # It accepts the limiter's call and holds its response back.
     discovery.publish(draining.list_entry("leaving"), ready.list_entry(), full_list=True)
     port = free_port()
-    limiter = asyncio.create_task(startup.run(configuration_between(port, discovery, [draining, ready])))
+    limiter = asyncio.create_task(
+        startup.run_limiter(configuration_between(port, discovery, [draining, ready]))
+    )
     await wait_until(lambda: discovery.calls, "discovery is polled")
     with pytest.raises(ConnectionRefusedError):
         await asyncio.open_connection("127.0.0.1", port)
