--- a/limiter/policy/customer.py
+++ b/limiter/policy/customer.py
@@ -76,9 +76,9 @@
         self.local_share.consume(units)
         self.usage.record_forwarded_units(units, within_quota=within_quota)
 
-    def record_billed(self, extra_units: float) -> None:
+    def record_billing_difference(self, extra_units: float) -> None:
         """Take what a forwarded request was billed beyond its estimate, and report it."""
-        self.usage.record_billed(extra_units, self.plan)
+        self.usage.record_billing_difference(extra_units, self.plan)
         self.report.add_unreported(extra_units)
 
     def start_attempt(self) -> None:
@@ -89,9 +89,9 @@
         """Count attempts that have ended."""
         self.attempts_in_flight -= count
 
-    def record_metered_concurrency(self, total: float) -> None:
+    def record_metered_concurrency(self, total_in_flight: float) -> None:
         """Take in how many attempts are in flight through all limiters, as a server metered it."""
-        self.remote_attempts_in_flight = max(0.0, total - self.attempts_in_flight)
+        self.remote_attempts_in_flight = max(0.0, total_in_flight - self.attempts_in_flight)
 
     def time_until_available(self, units: float) -> float:
         """Return the milliseconds until the bucket holds so many units, if the others go on as of late."""
@@ -101,30 +101,30 @@
 class CustomerTable:
     """All customers with recent requests."""
 
-    def __init__(self, forget_after: float) -> None:
+    def __init__(self, idle_timeout: float) -> None:
         """Start without customers.
 
         Args:
-            forget_after: Milliseconds without a request after which a customer may be forgotten.
+            idle_timeout: Milliseconds without a request after which a customer may be forgotten.
         """
-        self._forget_after = forget_after
+        self._idle_timeout = idle_timeout
         # The key is the customer's; the customer that has been idle for longest comes first.
         self.records: dict[int, Customer] = {}
 
-    def take(self, key: int) -> Customer | None:
+    def remove(self, key: int) -> Customer | None:
         """Take a record out, to be put back with `put`."""
         return self.records.pop(key, None)
 
-    def put(self, customer: Customer, now: float) -> None:
+    def insert(self, customer: Customer, now: float) -> None:
         """Put in the record of a customer that has a request now; others that are idle are forgotten."""
         self.records[customer.key] = customer
         customer.mark_seen(now)
         longest_idle = next(iter(self.records.values()))
-        if now - longest_idle.last_seen_at > self._forget_after:
-            self._forget_idle(now)
+        if now - longest_idle.last_seen_at > self._idle_timeout:
+            self._evict_idle(now)
 
-    def _forget_idle(self, now: float) -> None:
-        idle = pop_idle(self.records, lambda each: now - each.last_seen_at > self._forget_after)
-        for key, customer in idle:
+    def _evict_idle(self, now: float) -> None:
+        idle_records = pop_idle(self.records, lambda each: now - each.last_seen_at > self._idle_timeout)
+        for key, customer in idle_records:
             if customer.is_busy:
                 self.records[key] = customer  # put last, so that it does not keep the others
--- a/limiter/policy/customer_housekeeping.py
+++ b/limiter/policy/customer_housekeeping.py
@@ -11,7 +11,7 @@
 from limiter.policy.customer import Customer
 
 # A round may begin this much early: the timer of an earlier round may fire a rounding error before its time.
-EARLY_TOLERANCE_MS = 1.0
+TIMER_EARLY_TOLERANCE_MS = 1.0
 
 
 class CustomerHousekeeping:
@@ -32,7 +32,7 @@
 
     def take_due(self, now: float) -> list[Customer]:
         """Return the customers to look at now; none if an earlier timer has replaced the one that fired."""
-        if now < self._due_at - EARLY_TOLERANCE_MS:
+        if now < self._due_at - TIMER_EARLY_TOLERANCE_MS:
             return []
         due = list(self._pending.values())
         self._pending = {}
--- a/limiter/policy/customer_registry.py
+++ b/limiter/policy/customer_registry.py
@@ -15,12 +15,12 @@
 from limiter.policy.customer import Customer, CustomerTable
 from limiter.policy.gossiped_usage import CUSTOMER_IDLE_TIMEOUT_MS
 from limiter.policy.local_share import LocalShare
-from limiter.policy.sampled_usage import SampledUsage, even_remote_rate
+from limiter.policy.sampled_usage import SampledUsage, even_split_remote_rate
 
 # A sample that has been wanted for longer than this counts as missing.
-OVERDUE_MS = 500.0
+SAMPLE_OVERDUE_MS = 500.0
 # Calls without a total, in a row, that are put down to chance; after more of them samples count as missing.
-MAX_FAILED_CALLS = 1
+MAX_CONSECUTIVE_FAILED_CALLS = 1
 
 
 @dataclass(slots=True, eq=False)
@@ -60,21 +60,21 @@
         settings = self._context.settings
         plan = settings.plans[request.plan]
         limiter_set_size = min(max(1.0, request.limiter_set_size), float(settings.limiter_count))
-        customer = self.table.take(request.customer)
+        customer = self.table.remove(request.customer)
         if customer is None:
-            customer = self._new_customer(now, request, limiter_set_size)
+            customer = self._create_customer(now, request, limiter_set_size)
         elif customer.limiter_set_size != limiter_set_size or customer.plan is not plan:
             is_widely_shared = self._is_widely_shared(plan, limiter_set_size)
             customer.change_plan(plan, limiter_set_size, is_widely_shared=is_widely_shared)
-        self.table.put(customer, now)
+        self.table.insert(customer, now)
         return customer
 
-    def _new_customer(self, now: float, request: ClientRequest, limiter_set_size: float) -> Customer:
+    def _create_customer(self, now: float, request: ClientRequest, limiter_set_size: float) -> Customer:
         plan = self._context.settings.plans[request.plan]
         history = self.plan_history[request.plan]
         # This start may be a restart, which refills nothing: the ceiling's part counts from this start on.
         seconds_since_start = (now - self._context.started_at) / 1000
-        refilled = min(plan.ceiling_burst, seconds_since_start * plan.ceiling_rate)
+        refilled_ceiling_units = min(plan.ceiling_burst, seconds_since_start * plan.ceiling_rate)
         return Customer(
             key=request.customer,
             plan=plan,
@@ -85,9 +85,9 @@
                 refilled_at=now,
                 probability=history.probability,
                 probability_updated_at=now,
-                remote_rate=even_remote_rate(plan, limiter_set_size),
+                remote_rate=even_split_remote_rate(plan, limiter_set_size),
             ),
-            local_share=LocalShare(ceiling_tokens=refilled / limiter_set_size),
+            local_share=LocalShare(ceiling_tokens=refilled_ceiling_units / limiter_set_size),
             admitted_fraction=history.admitted_fraction,
         )
 
@@ -100,9 +100,9 @@
         if not self.uses_counter:
             return not self._context.settings.meter_period
         report = customer.report
-        wanted_since = report.sample_wanted_since
-        is_overdue = wanted_since is not None and now - wanted_since > OVERDUE_MS
-        if not is_overdue and report.consecutive_failed_calls <= MAX_FAILED_CALLS:
+        due_since = report.sample_due_since
+        is_overdue = due_since is not None and now - due_since > SAMPLE_OVERDUE_MS
+        if not is_overdue and report.consecutive_failed_calls <= MAX_CONSECUTIVE_FAILED_CALLS:
             return False
         return not customer.is_widely_shared
 
@@ -129,7 +129,7 @@
             billable_units: Units that its request took within the quota; None if it took none.
         """
         if ended.billed_units is not None and billable_units is not None:
-            customer.record_billed(ended.billed_units - billable_units)
+            customer.record_billing_difference(ended.billed_units - billable_units)
         if ended.metered_utilization is None:
             return
         if customer.plan.rate <= 0:
@@ -143,5 +143,5 @@
         if now - usage.sampled_at < interval:
             return
         elapsed = now - max(usage.sampled_at, usage.probability_updated_at)
-        used = utilization * customer.plan.rate / 1000 * elapsed
-        usage.record_sample(now, customer.plan, max(0.0, used - usage.local_units))
+        used_units = utilization * customer.plan.rate / 1000 * elapsed
+        usage.record_sample(now, customer.plan, max(0.0, used_units - usage.local_units))
--- a/limiter/policy/gossiped_usage.py
+++ b/limiter/policy/gossiped_usage.py
@@ -14,7 +14,7 @@
 
 # Share of a concurrency quota to aim at: attempts in flight vary by chance, and those beyond the quota count
 # too.
-CONCURRENCY_TARGET = 0.8
+TARGET_CONCURRENCY_UTILIZATION = 0.8
 # Milliseconds after which an idle customer is forgotten, from the design page.
 CUSTOMER_IDLE_TIMEOUT_MS = 60000.0
 
@@ -59,7 +59,7 @@
         else:
             # Little's law: the arrival rate times the latency is the number in flight.
             sample = units_per_ms * mean_latency / max(self.plan.max_concurrency, 1)
-            target = CONCURRENCY_TARGET
+            target = TARGET_CONCURRENCY_UTILIZATION
         self.update_utilization(sample, UTILIZATION_EWMA_WEIGHT)
         self.update_probability(target)
         self.sampled_units = 0.0
@@ -79,7 +79,7 @@
         # The key is the customer's; the customer that has been idle for longest comes first.
         self.records: dict[int, GossipedUsage] = {}
 
-    def find(self, now: float, customer: int, plan: QuotaPlan, mean_latency: float) -> GossipedUsage:
+    def get_or_create(self, now: float, customer: int, plan: QuotaPlan, mean_latency: float) -> GossipedUsage:
         """Return a customer's record as of `now`: bucket filled, probability updated once a sample."""
         usage = self.records.pop(customer, None)
         if usage is None or usage.plan is not plan:
--- a/limiter/policy/usage_gossip.py
+++ b/limiter/policy/usage_gossip.py
@@ -27,9 +27,9 @@
 MAX_INTERVALS_WITHOUT_MESSAGE = 3.0
 # Limiters send their messages at times that differ by this share of the interval, so that not all send
 # together.
-INTERVAL_JITTER = 0.2
+GOSSIP_INTERVAL_JITTER_FRACTION = 0.2
 # A sum of units this close to a number counts as that number, for the rounding errors of adding up.
-UNITS_TOLERANCE = 1e-6
+UNIT_ROUNDING_TOLERANCE = 1e-6
 
 
 class GossipedQuota(NamedTuple):
@@ -58,15 +58,15 @@
     def __init__(self, context: EngineContext) -> None:
         """Start with nothing to send and nothing received."""
         settings = context.settings
-        peers = settings.limiter_count - 1
+        peer_count = settings.limiter_count - 1
         intake_per_second = settings.max_received_gossip_per_second
         self._context = context
         self._plans = settings.plans
-        self.is_enabled = settings.may_gossip and intake_per_second > 0 and peers > 0
+        self.is_enabled = settings.may_gossip and intake_per_second > 0 and peer_count > 0
         # A receiver gets messages at the same rate in a fleet of any size: in a larger one each limiter sends
         # fewer.
         self.interval = max(
-            MIN_GOSSIP_INTERVAL_MS, 1000.0 * peers / max(MAX_INTAKE_FRACTION * intake_per_second, 1e-9)
+            MIN_GOSSIP_INTERVAL_MS, 1000.0 * peer_count / max(MAX_INTAKE_FRACTION * intake_per_second, 1e-9)
         )
         self.peer_load = PeerLoad()
         self.usage_table = GossipedUsageTable(sample_interval=max(UPDATE_INTERVAL_MS, 2 * self.interval))
@@ -91,14 +91,14 @@
 
     def get_usage(self, now: float, customer: int, plan_index: int) -> GossipedUsage:
         """Return a customer's use as of `now`."""
-        return self.usage_table.find(now, customer, self._plans[plan_index], self._mean_latency)
+        return self.usage_table.get_or_create(now, customer, self._plans[plan_index], self._mean_latency)
 
     def estimate_quota(self, now: float, request: ClientRequest) -> GossipedQuota:
         """Return what is left of the quota of a request's customer, as of `now`."""
         usage = self.get_usage(now, request.customer, request.plan)
         # On average, half an interval of the other limiters' use has not arrived yet.
-        unreceived = usage.utilization * usage.plan.rate / 1000 * self.interval / 2
-        return GossipedQuota(usage.tokens - unreceived, usage.probability)
+        unreceived_units = usage.utilization * usage.plan.rate / 1000 * self.interval / 2
+        return GossipedQuota(usage.tokens - unreceived_units, usage.probability)
 
     def is_fresh(self, now: float) -> bool:
         """Whether a message came lately, or this limiter has just started."""
@@ -117,8 +117,10 @@
         """Have a message sent after an interval, unless one is due already."""
         if self.is_enabled and not self._is_scheduled:
             self._is_scheduled = True
-            jitter = self._context.random.uniform(1 - INTERVAL_JITTER, 1 + INTERVAL_JITTER)
-            self._context.set_timer(self.interval * jitter, TimerToken.USAGE_GOSSIP)
+            jitter_factor = self._context.random.uniform(
+                1 - GOSSIP_INTERVAL_JITTER_FRACTION, 1 + GOSSIP_INTERVAL_JITTER_FRACTION
+            )
+            self._context.set_timer(self.interval * jitter_factor, TimerToken.USAGE_GOSSIP)
 
     def send(self, in_flight: int, latency: float) -> None:
         """Send the message that is due.
@@ -137,13 +139,13 @@
         """
         writer = UsageWriter(in_flight, latency)
         for key, units in list(self._unsent.items()):
-            written = writer.add(*key, math.floor(units + UNITS_TOLERANCE))
+            written_units = writer.add(*key, math.floor(units + UNIT_ROUNDING_TOLERANCE))
             if writer.is_full:
                 break
-            if not written:
+            if not written_units:
                 continue
-            if units - written > UNITS_TOLERANCE:
-                self._unsent[key] = units - written
+            if units - written_units > UNIT_ROUNDING_TOLERANCE:
+                self._unsent[key] = units - written_units
             else:
                 del self._unsent[key]
         return writer.message()
--- a/limiter/policy/usage_report.py
+++ b/limiter/policy/usage_report.py
@@ -53,10 +53,10 @@
         reserved_units: Units that the call in flight reports ahead, for requests that are held for its reply.
         epoch: The epoch that was counted last; None before the first call.
         key: The key of that epoch.
-        counts_slot: Whether that epoch is a slot, decided by one total and within the time of half a burst.
+        is_slot_epoch: Whether that epoch is a slot, decided by one total and within the time of half a burst.
         total: The last total of the epoch, of all limiters.
-        total_at: Time of `total`; None before the first one.
-        sample_wanted_since: Since when a sample has been wanted; None while there is none to wait for.
+        last_total_at: Time of `total`; None before the first one.
+        sample_due_since: Since when a sample has been wanted; None while there is none to wait for.
         next_call_at: Time before which no further call is made.
         call_started_at: Time at which the last call was made.
         consecutive_failed_calls: Calls without a total, in a row.
@@ -68,10 +68,10 @@
     reserved_units: float = 0.0
     epoch: CounterEpoch | None = None
     key: int | None = None
-    counts_slot: bool = False
+    is_slot_epoch: bool = False
     total: float = 0.0
-    total_at: float | None = None
-    sample_wanted_since: float | None = None
+    last_total_at: float | None = None
+    sample_due_since: float | None = None
     next_call_at: float = 0.0
     call_started_at: float = 0.0
     consecutive_failed_calls: int = 0
@@ -97,18 +97,18 @@
         """Forget the units reported ahead: the requests that were held are decided on."""
         self.reserved_units = 0.0
 
-    def want_sample(self, now: float) -> None:
+    def mark_sample_due(self, now: float) -> None:
         """Note that a sample is wanted from now on, unless one has been wanted already."""
-        if self.sample_wanted_since is None:
-            self.sample_wanted_since = now
+        if self.sample_due_since is None:
+            self.sample_due_since = now
 
     def delay_next_call(self, until: float) -> None:
         """Make no further call before this time."""
         self.next_call_at = until
 
-    def choose_epoch_kind(self, *, is_slot: bool) -> None:
+    def set_epoch_kind(self, *, is_slot: bool) -> None:
         """Note whether the next call counts a slot."""
-        self.counts_slot = is_slot
+        self.is_slot_epoch = is_slot
 
     def start_epoch(self, epoch: CounterEpoch, key: int) -> None:
         """Count under another key from now on: nothing is known of its total yet."""
@@ -152,14 +152,14 @@
         else:
             self.unreported_units += units
 
-    def return_unconfirmed(self) -> None:
+    def requeue_unconfirmed_units(self) -> None:
         """Report the unconfirmed units again: the last total shows that they were not added."""
         self.unreported_units += self.unconfirmed_units
 
     def record_total(self, now: float, total: float) -> None:
         """Take in a total that the counter replied with."""
         self.total = total
-        self.total_at = now
+        self.last_total_at = now
         self.unconfirmed_units = 0.0
         self.consecutive_failed_calls = 0
-        self.sample_wanted_since = None
+        self.sample_due_since = None
--- a/limiter/policy/usage_reporting.py
+++ b/limiter/policy/usage_reporting.py
@@ -10,11 +10,11 @@
 # Time that use waits for its call while the bucket is well filled, so that one call reports several requests.
 REPORT_DELAY_MS = 1000.0
 # Time after which a customer whose use could not be reported is looked at again.
-RETRY_DELAY_MS = REPORT_DELAY_MS / 4
+REPORT_RETRY_DELAY_MS = REPORT_DELAY_MS / 4
 # Share of the burst below which the tokens count as nearly used up.
-NEAR_QUOTA_SHARE = 1 / 2
+NEAR_QUOTA_BURST_FRACTION = 1 / 2
 # A limiter reports at once when it owes more than this share of its even part of the burst.
-MAX_UNREPORTED_SHARE = 1 / 4
+MAX_UNREPORTED_FRACTION = 1 / 4
 
 
 class UsageReporter:
@@ -48,21 +48,23 @@
     def _is_near_quota(customer: Customer) -> bool:
         """Whether the quota is nearly used, or too little is known to tell."""
         burst = customer.plan.burst
-        owed = customer.report.unreported_units / MAX_UNREPORTED_SHARE * customer.limiter_set_size
-        is_nearly_used = customer.usage.tokens < burst * NEAR_QUOTA_SHARE
-        return is_nearly_used or not customer.usage.has_sample or owed > burst
+        scaled_unreported_units = (
+            customer.report.unreported_units / MAX_UNREPORTED_FRACTION * customer.limiter_set_size
+        )
+        is_nearly_used = customer.usage.tokens < burst * NEAR_QUOTA_BURST_FRACTION
+        return is_nearly_used or not customer.usage.has_sample or scaled_unreported_units > burst
 
     def report_overdue_usage(self, now: float, customer: Customer) -> None:
         """Report use that has waited for long."""
-        if self.has_use_to_report(customer) and now - customer.usage.sampled_at > REPORT_DELAY_MS:
+        if self.has_unreported_usage(customer) and now - customer.usage.sampled_at > REPORT_DELAY_MS:
             self._sampler.call_counter(now, customer)
 
     def schedule_recheck(self, now: float, customer: Customer) -> None:
         """Look at the customer again if use is left to report."""
-        if self.has_use_to_report(customer):
-            self._housekeeping.schedule(now, RETRY_DELAY_MS, customer)
+        if self.has_unreported_usage(customer):
+            self._housekeeping.schedule(now, REPORT_RETRY_DELAY_MS, customer)
 
-    def has_use_to_report(self, customer: Customer) -> bool:
+    def has_unreported_usage(self, customer: Customer) -> bool:
         """Whether use of the customer waits for its call."""
-        has_use = bool(customer.report.unreported_units)
-        return has_use and not customer.is_widely_shared
+        has_unreported_units = bool(customer.report.unreported_units)
+        return has_unreported_units and not customer.is_widely_shared
--- a/limiter/policy/usage_sampling.py
+++ b/limiter/policy/usage_sampling.py
@@ -25,27 +25,27 @@
 # over is admitted on top of the burst, so that a long epoch admits floods.
 WIDELY_SHARED_EPOCH_BURSTS = 1.5
 # Share of a burst that may be used in one slot, so that the order of requests in it does not matter.
-SLOT_BURST_SHARE = 1 / 2
+SLOT_BURST_FRACTION = 1 / 2
 # Share of the counter's time-out beyond its best latency that counts as its full load.
-FULL_LOAD_SHARE = 0.6
+FULL_LOAD_LATENCY_FRACTION = 0.6
 # Least probability of a call that is wanted, so that an overloaded counter is seen to recover.
 MIN_CALL_PROBABILITY = 0.05
 # Largest factor by which the call probability moves with one reply.
-MAX_CALL_STEP = 2.0
+MAX_CALL_PROBABILITY_STEP = 2.0
 # Factor by which the best latency grows with each reply: it is forgotten slowly.
-BEST_LATENCY_GROWTH = 1.01
+MIN_LATENCY_GROWTH_FACTOR = 1.01
 # Units by which totals may be off: the counter is exact to seven digits only.
-COUNT_TOLERANCE = 1e-3
+TOTAL_TOLERANCE_UNITS = 1e-3
 # The next call of a customer comes after the sample interval, more or less by this share of it.
-INTERVAL_JITTER = 0.2
+SAMPLE_INTERVAL_JITTER_FRACTION = 0.2
 # The bucket of a widely shared customer is taken to begin an epoch filled to the share of its requests that
 # were admitted, raised to this power.
-START_FILL_EXPONENT = 4
+INITIAL_FILL_EXPONENT = 4
 
 
-def slot_units(plan: QuotaPlan) -> float:
+def slot_unit_limit(plan: QuotaPlan) -> float:
     """Return the units that may be used in one slot, one at least."""
-    return max(1.0, math.floor(plan.burst * SLOT_BURST_SHARE))
+    return max(1.0, math.floor(plan.burst * SLOT_BURST_FRACTION))
 
 
 class UsageSampler:
@@ -68,16 +68,16 @@
         self._gossip = gossip
         self.call_probability = 1.0
         # Customers whose call is in flight, by the counter key of the call.
-        self._in_flight: dict[int, Customer] = {}
+        self._customer_by_call_key: dict[int, Customer] = {}
         # The newest epoch of each length, which all customers with epochs of that length share.
-        self._epochs: dict[float, CounterEpoch] = {}
+        self._newest_epochs: dict[float, CounterEpoch] = {}
         # The shortest latency of a reply, which is forgotten slowly; None before the first reply.
-        self._best_latency: float | None = None
+        self._min_latency: float | None = None
 
     @property
     def calls_in_flight(self) -> int:
         """Calls that have not ended yet."""
-        return len(self._in_flight)
+        return len(self._customer_by_call_key)
 
     def call_counter(self, now: float, customer: Customer) -> bool:
         """Report the customer's use, or only read the total.
@@ -85,53 +85,55 @@
         Returns:
             Whether a call was made.
         """
-        self._sample_by_even_split(now, customer)
+        self._record_even_split_sample(now, customer)
         report = customer.report
-        report.want_sample(now)
+        report.mark_sample_due(now)
         is_widely_shared = customer.is_widely_shared
         is_early = now < report.next_call_at and not is_widely_shared
         if not self._customers.uses_counter or report.is_call_in_flight or is_early:
             return False
         random = self._context.random
-        jitter = random.uniform(1 - INTERVAL_JITTER, 1 + INTERVAL_JITTER)
-        report.delay_next_call(now + throttle.SAMPLE_INTERVAL_MS * jitter)
+        jitter_factor = random.uniform(
+            1 - SAMPLE_INTERVAL_JITTER_FRACTION, 1 + SAMPLE_INTERVAL_JITTER_FRACTION
+        )
+        report.delay_next_call(now + throttle.SAMPLE_INTERVAL_MS * jitter_factor)
         if random.random() >= self.call_probability:
             return False
-        report.choose_epoch_kind(is_slot=is_widely_shared and self._gossip.is_fresh(now))
+        report.set_epoch_kind(is_slot=is_widely_shared and self._gossip.is_fresh(now))
         self._send_call(now, customer)
         return True
 
-    def _sample_by_even_split(self, now: float, customer: Customer) -> None:
+    def _record_even_split_sample(self, now: float, customer: Customer) -> None:
         """Let the even split stand for a sample that is missing."""
         usage = customer.usage
         if not self._customers.lacks_samples(customer, now):
             return
-        if now - usage.known_since >= throttle.SAMPLE_INTERVAL_MS:
-            usage.begin_even_split_sample()
+        if now - usage.unsampled_since >= throttle.SAMPLE_INTERVAL_MS:
+            usage.start_even_split_sample()
             usage.record_sample(now, customer.plan, usage.expected_remote_units)
 
     def _send_call(self, now: float, customer: Customer) -> None:
-        epoch, key = self._enter_epoch(now, customer)
-        amount = customer.report.start_call(now)
-        self._in_flight[key] = customer
-        self._context.actions.append(IncrementCounter(key, amount, time_to_live=2 * epoch.length))
+        epoch, key = self._select_epoch(now, customer)
+        reported_units = customer.report.start_call(now)
+        self._customer_by_call_key[key] = customer
+        self._context.actions.append(IncrementCounter(key, reported_units, time_to_live=2 * epoch.length))
 
-    def _enter_epoch(self, now: float, customer: Customer) -> tuple[CounterEpoch, int]:
+    def _select_epoch(self, now: float, customer: Customer) -> tuple[CounterEpoch, int]:
         """Return the epoch of `now`, and the key under which the customer is counted in it."""
         report = customer.report
-        epoch = self._epoch_at(now, self._epoch_length(customer))
+        epoch = self._get_epoch_at(now, self._epoch_length(customer))
         if report.key is None or epoch != report.epoch:
-            slot_length = epoch.length if report.counts_slot else 0.0
+            slot_length = epoch.length if report.is_slot_epoch else 0.0
             report.start_epoch(epoch, counter_key(customer.key, epoch.index, slot_length))
         assert report.key is not None
         return epoch, report.key
 
-    def _epoch_at(self, now: float, length: float) -> CounterEpoch:
+    def _get_epoch_at(self, now: float, length: float) -> CounterEpoch:
         index = int(now // length)
-        newest = self._epochs.get(length)
+        newest = self._newest_epochs.get(length)
         if newest is None or newest.index != index:
             newest = CounterEpoch(index, length, start=index * length)
-            self._epochs[length] = newest
+            self._newest_epochs[length] = newest
         return newest
 
     def _epoch_length(self, customer: Customer) -> float:
@@ -139,8 +141,8 @@
         if not customer.is_widely_shared:
             return MAX_EPOCH_MS
         plan = customer.plan
-        if customer.report.counts_slot:
-            return min(MAX_EPOCH_MS, 1000 * slot_units(plan) / plan.rate)
+        if customer.report.is_slot_epoch:
+            return min(MAX_EPOCH_MS, 1000 * slot_unit_limit(plan) / plan.rate)
         return min(MAX_EPOCH_MS, WIDELY_SHARED_EPOCH_BURSTS * 1000 * plan.burst / plan.rate)
 
     def handle_reply(self, now: float, reply: CounterReply) -> Customer | None:
@@ -149,21 +151,21 @@
         Returns:
             The customer that it was made for; None where no call under its key is in flight.
         """
-        customer = self._in_flight.pop(reply.key, None)
+        customer = self._customer_by_call_key.pop(reply.key, None)
         if customer is None:
             return None
         report = customer.report
-        added = report.end_call()
+        added_units = report.end_call()
         self._customers.advance(customer, now)
         self._adjust_call_probability(reply)
         if reply.outcome is not Outcome.OK:
             # A sample is missing, whatever the cause: the even split or the probability stands for it.
-            report.mark_call_failed(added, is_uncertain=reply.outcome is Outcome.TIMEOUT)
+            report.mark_call_failed(added_units, is_uncertain=reply.outcome is Outcome.TIMEOUT)
             return customer
         if customer.is_widely_shared:
-            self._record_total(now, customer, reply.total_units - report.reserved_units)
+            self._record_widely_shared_total(now, customer, reply.total_units - report.reserved_units)
         else:
-            self._record_growth(now, customer, reply.total_units, added)
+            self._record_total_growth(now, customer, reply.total_units, added_units)
         report.record_total(now, reply.total_units)
         return customer
 
@@ -173,56 +175,66 @@
         latency = timeout
         if reply.outcome is Outcome.OK:
             latency = reply.latency
-            self._record_latency(latency)
-        best_latency = self._best_latency or 0.0
-        full_load = FULL_LOAD_SHARE * (timeout - best_latency)
-        load = (latency - best_latency) / max(full_load, 1e-6)
-        step = clamp(throttle.TARGET_UTILIZATION / max(load, 1e-6), 1 / MAX_CALL_STEP, MAX_CALL_STEP)
+            self._update_min_latency(latency)
+        min_latency = self._min_latency or 0.0
+        full_load_latency = FULL_LOAD_LATENCY_FRACTION * (timeout - min_latency)
+        load = (latency - min_latency) / max(full_load_latency, 1e-6)
+        step = clamp(
+            throttle.TARGET_UTILIZATION / max(load, 1e-6),
+            1 / MAX_CALL_PROBABILITY_STEP,
+            MAX_CALL_PROBABILITY_STEP,
+        )
         self.call_probability = throttle.clamp_probability(self.call_probability * step, MIN_CALL_PROBABILITY)
 
-    def _record_latency(self, latency: float) -> None:
-        if self._best_latency:
-            self._best_latency = min(latency, self._best_latency * BEST_LATENCY_GROWTH)
+    def _update_min_latency(self, latency: float) -> None:
+        if self._min_latency:
+            self._min_latency = min(latency, self._min_latency * MIN_LATENCY_GROWTH_FACTOR)
         else:
-            self._best_latency = latency
+            self._min_latency = latency
 
     @staticmethod
-    def _record_total(now: float, customer: Customer, used: float) -> None:
+    def _record_widely_shared_total(now: float, customer: Customer, used_units: float) -> None:
         """Judge a widely shared customer by one total alone."""
         plan = customer.plan
         report = customer.report
         assert report.epoch is not None
         elapsed = now - report.epoch.start
-        if report.counts_slot:
-            customer.usage.record_slot_total(plan, used, elapsed, slot_units(plan))
+        if report.is_slot_epoch:
+            customer.usage.record_slot_total(plan, used_units, elapsed, slot_unit_limit(plan))
             return
         # The bucket is taken to have begun the epoch as recent decisions left it.
-        tokens_at_start = plan.burst * customer.admitted_fraction**START_FILL_EXPONENT
-        customer.usage.record_epoch_total(now, plan, used, elapsed, tokens_at_start)
+        tokens_at_start = plan.burst * customer.admitted_fraction**INITIAL_FILL_EXPONENT
+        customer.usage.record_epoch_total(now, plan, used_units, elapsed, tokens_at_start)
 
-    def _record_growth(self, now: float, customer: Customer, total: float, added: float) -> None:
+    def _record_total_growth(self, now: float, customer: Customer, total: float, added_units: float) -> None:
         """Sample the other limiters' use: what the total grew by, less what this limiter added.
 
         Args:
             now: Time of the reply.
             customer: The customer that was counted.
             total: The total of the reply.
-            added: Units that the call added.
+            added_units: Units that the call added.
         """
         usage = customer.usage
         report = customer.report
-        growth = total - report.total
-        known = added + report.unconfirmed_units
-        if growth + COUNT_TOLERANCE < added:
+        growth_units = total - report.total
+        reported_own_units = added_units + report.unconfirmed_units
+        if growth_units + TOTAL_TOLERANCE_UNITS < added_units:
             # The counter lost counts: the greater of what is known stands for the others' use.
-            remote_units = max(total - added, usage.expected_remote_units)
+            remote_units = max(total - added_units, usage.expected_remote_units)
         elif self._customers.lacks_samples(customer, now):
-            remote_units = self._overdue_remote_units(now, customer, growth - known)
+            remote_units = self._estimate_overdue_remote_units(
+                now, customer, growth_units - reported_own_units
+            )
         else:
-            own_units = known if growth + COUNT_TOLERANCE >= known else added
-            remote_units = max(0.0, growth - own_units)
-        if added <= growth + COUNT_TOLERANCE < known:
-            report.return_unconfirmed()
+            own_units = (
+                reported_own_units
+                if growth_units + TOTAL_TOLERANCE_UNITS >= reported_own_units
+                else added_units
+            )
+            remote_units = max(0.0, growth_units - own_units)
+        if added_units <= growth_units + TOTAL_TOLERANCE_UNITS < reported_own_units:
+            report.requeue_unconfirmed_units()
         if usage.has_sample:
             usage.record_sample(now, customer.plan, remote_units)
         else:
@@ -231,20 +243,20 @@
             usage.record_first_total(now, customer.plan, remote_units, elapsed)
 
     @staticmethod
-    def _overdue_remote_units(now: float, customer: Customer, growth: float) -> float:
+    def _estimate_overdue_remote_units(now: float, customer: Customer, remote_growth_units: float) -> float:
         """Return the others' use since a sample that is long ago: by even split or growth, the greater.
 
         Args:
             now: Time of the total.
             customer: The customer that was counted.
-            growth: Units by which the others' use in the epoch grew since the last total.
+            remote_growth_units: Units by which the others' use in the epoch grew since the last total.
         """
         usage = customer.usage
         report = customer.report
         assert report.epoch is not None
-        last_total_at = report.epoch.start
-        if report.total_at is not None:
-            last_total_at = max(report.total_at, last_total_at)
-        remote_rate = max(0.0, growth) / max(now - last_total_at, throttle.SAMPLE_INTERVAL_MS)
-        since_sample = max(now - usage.sampled_at, throttle.SAMPLE_INTERVAL_MS)
-        return max(usage.expected_remote_units, remote_rate * since_sample)
+        growth_start = report.epoch.start
+        if report.last_total_at is not None:
+            growth_start = max(report.last_total_at, growth_start)
+        remote_rate = max(0.0, remote_growth_units) / max(now - growth_start, throttle.SAMPLE_INTERVAL_MS)
+        time_since_sample = max(now - usage.sampled_at, throttle.SAMPLE_INTERVAL_MS)
+        return max(usage.expected_remote_units, remote_rate * time_since_sample)
