--- a/limiter/policy/customer.py
+++ b/limiter/policy/customer.py
@@ -1,7 +1,7 @@
-"""A customer as one limiter knows it, and the table of customers with recent requests.
+"""One limiter's record of a customer, and the table of customers with recent requests.
 
-Each part of a record is written by its own class alone: `SampledUsage`, `LocalShare` and `UsageReport`.
-Types: limiter/model. Times are milliseconds.
+The nested records `SampledUsage`, `LocalShare` and `UsageReport` each modify only their own fields. Types:
+limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -20,19 +20,20 @@
     """A customer with recent requests.
 
     Attributes:
-        key: Its number.
+        key: The customer's number.
         plan: The plan of its last request.
-        limiter_set_size: Limiters that may get its requests.
-        usage: Its token bucket and admission probability, rebuilt from samples.
-        local_share: This limiter's even parts of its quota.
-        is_widely_shared: Whether a limiter's even part of the burst is under one unit, so that this one
-            sees too few of its requests to know its use.
-        admitted_fraction: Share of its requests that were admitted, among those that a sample decided; a
-            moving average.
-        report: Its use on the way to the counter.
+        limiter_set_size: Number of limiters that may receive its requests.
+        usage: Its token bucket and admission probability, estimated from usage samples.
+        local_share: This limiter's even share of its quota.
+        is_widely_shared: Whether an even share of the burst for each limiter is less than one unit, so that
+            this limiter receives too few of its requests to estimate its usage.
+        admitted_fraction: Moving average of the fraction of requests that were admitted, over the decisions
+            that were based on a sample.
+        report: Its usage that is to be reported to the counter.
         last_seen_at: Time of its last request.
-        attempts_in_flight: Attempts in flight from here.
-        remote_attempts_in_flight: Attempts in flight from other limiters, as servers metered them last.
+        attempts_in_flight: Number of attempts in flight that this limiter sent.
+        remote_attempts_in_flight: Number of attempts in flight that other limiters sent, from the latest
+            value metered by a server.
     """
 
     key: int
@@ -49,40 +50,44 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether attempts or a counter call still refer to the customer.
+        """Whether an attempt or a counter call in flight still refers to the customer.
 
-        Requests that are held for a reply need no check of their own: a call is in flight as long as they
-        are.
+        Requests that are held for a reply need no separate check: a call is in flight for as long as they
+        are held.
         """
         return bool(self.attempts_in_flight or self.report.is_call_in_flight)
 
     def mark_seen(self, now: float) -> None:
-        """Note the time of a request."""
+        """Record the time of a request."""
         self.last_seen_at = now
 
     def change_plan(self, plan: QuotaPlan, limiter_set_size: float, *, is_widely_shared: bool) -> None:
-        """Go on under another plan, or in another set of limiters."""
+        """Apply a change of the customer's plan or of the size of its limiter set."""
         self.plan = plan
         self.limiter_set_size = limiter_set_size
         self.is_widely_shared = is_widely_shared
         self.local_share.change_plan(plan, limiter_set_size)
 
     def record_decision(self, weight: float, *, is_admitted: bool) -> None:
-        """Add a request that a sample decided to the share of those admitted."""
+        """Update the admitted fraction with one decision that was based on a sample."""
         self.admitted_fraction += weight * (float(is_admitted) - self.admitted_fraction)
 
     def record_forwarded_units(self, units: float, *, within_quota: bool) -> None:
-        """Take the units of a request that is forwarded from here."""
+        """Deduct the units of a request that this limiter forwards."""
         self.local_share.consume(units)
         self.usage.record_forwarded_units(units, within_quota=within_quota)
 
     def record_billing_difference(self, extra_units: float) -> None:
-        """Take what a forwarded request was billed beyond its estimate, and report it."""
+        """Deduct and report the units that a forwarded request was billed beyond its estimate.
+
+        Args:
+            extra_units: Billed units minus estimated units; negative if fewer were billed.
+        """
         self.usage.record_billing_difference(extra_units, self.plan)
         self.report.add_unreported(extra_units)
 
     def start_attempt(self) -> None:
-        """Count an attempt that is sent from here."""
+        """Count an attempt that this limiter sends."""
         self.attempts_in_flight += 1
 
     def end_attempts(self, count: int) -> None:
@@ -90,11 +95,11 @@
         self.attempts_in_flight -= count
 
     def record_metered_concurrency(self, total_in_flight: float) -> None:
-        """Take in how many attempts are in flight through all limiters, as a server metered it."""
+        """Estimate the attempts in flight from other limiters from the total that a server metered."""
         self.remote_attempts_in_flight = max(0.0, total_in_flight - self.attempts_in_flight)
 
     def time_until_available(self, units: float) -> float:
-        """Return the milliseconds until the bucket holds so many units, if the others go on as of late."""
+        """Return the milliseconds until the bucket holds `units` if the other limiters' rate is constant."""
         return self.usage.time_until_available(units, self.plan, self.limiter_set_size)
 
 
@@ -102,21 +107,21 @@
     """All customers with recent requests."""
 
     def __init__(self, idle_timeout: float) -> None:
-        """Start without customers.
+        """Create an empty table.
 
         Args:
-            idle_timeout: Milliseconds without a request after which a customer may be forgotten.
+            idle_timeout: Milliseconds without a request after which a customer may be evicted.
         """
         self._idle_timeout = idle_timeout
-        # The key is the customer's; the customer that has been idle for longest comes first.
+        # Customers by key; the one that has been idle for longest comes first.
         self.records: dict[int, Customer] = {}
 
     def remove(self, key: int) -> Customer | None:
-        """Take a record out, to be put back with `put`."""
+        """Remove and return a customer's record, which the caller inserts again with `insert`."""
         return self.records.pop(key, None)
 
     def insert(self, customer: Customer, now: float) -> None:
-        """Put in the record of a customer that has a request now; others that are idle are forgotten."""
+        """Insert the record of a customer that sends a request now, and evict idle records."""
         self.records[customer.key] = customer
         customer.mark_seen(now)
         longest_idle = next(iter(self.records.values()))
@@ -127,4 +132,6 @@
         idle_records = pop_idle(self.records, lambda each: now - each.last_seen_at > self._idle_timeout)
         for key, customer in idle_records:
             if customer.is_busy:
-                self.records[key] = customer  # put last, so that it does not keep the others
+                self.records[key] = (
+                    customer  # moved to the end, so that idle records behind it can be evicted
+                )
--- a/limiter/policy/customer_housekeeping.py
+++ b/limiter/policy/customer_housekeeping.py
@@ -1,6 +1,6 @@
-"""Customers that have to be looked at again: with use to report, or with requests that wait for a reply.
+"""Schedules the recheck of customers that have usage to report or requests held for a counter reply.
 
-Types: limiter/model. Times are milliseconds.
+Types: limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -10,28 +10,28 @@
 from limiter.policy.context import EngineContext, TimerToken
 from limiter.policy.customer import Customer
 
-# A round may begin this much early: the timer of an earlier round may fire a rounding error before its time.
+# A round of rechecks may start this much early, because rounding may make its timer fire slightly early.
 TIMER_EARLY_TOLERANCE_MS = 1.0
 
 
 class CustomerHousekeeping:
-    """The customers to look at again, and the one timer for all of them."""
+    """The customers to recheck, and the single timer that they share."""
 
     def __init__(self, context: EngineContext) -> None:
-        """Start without a customer to look at."""
+        """Start with no customer to recheck."""
         self._context = context
         self._pending: dict[int, Customer] = {}
         self._due_at = math.inf
 
     def schedule(self, now: float, delay: float, customer: Customer) -> None:
-        """Look at a customer again in the next round, `delay` milliseconds from now at the latest."""
+        """Recheck a customer in the next round, which starts at most `delay` milliseconds from now."""
         self._pending[customer.key] = customer
         if now + delay < self._due_at:
             self._due_at = now + delay
             self._context.set_timer(delay, TimerToken.HOUSEKEEPING)
 
     def take_due(self, now: float) -> list[Customer]:
-        """Return the customers to look at now; none if an earlier timer has replaced the one that fired."""
+        """Return the customers to recheck now; none if the timer that fired belongs to an earlier round."""
         if now < self._due_at - TIMER_EARLY_TOLERANCE_MS:
             return []
         due = list(self._pending.values())
--- a/limiter/policy/customer_registry.py
+++ b/limiter/policy/customer_registry.py
@@ -1,7 +1,8 @@
-"""The customers of one limiter: their records, found or made anew, and brought up to date.
+"""Looks up, creates and updates the customer records of one limiter.
 
-A customer's bucket is rebuilt from samples of its use through all limiters. Where samples are missing, the
-quota is split evenly over the customer's limiters instead. Types: limiter/model. Times are milliseconds.
+A customer's token bucket is estimated from samples of its usage through all limiters. While samples are
+missing, each limiter enforces an even share of the quota instead. Types: limiter/model. Times are in
+milliseconds.
 """
 
 from __future__ import annotations
@@ -17,38 +18,39 @@
 from limiter.policy.local_share import LocalShare
 from limiter.policy.sampled_usage import SampledUsage, even_split_remote_rate
 
-# A sample that has been wanted for longer than this counts as missing.
+# A sample that has been due for longer than this counts as missing.
 SAMPLE_OVERDUE_MS = 500.0
-# Calls without a total, in a row, that are put down to chance; after more of them samples count as missing.
+# Consecutive counter calls without a total that are tolerated; after more failures samples count as missing.
 MAX_CONSECUTIVE_FAILED_CALLS = 1
 
 
 @dataclass(slots=True, eq=False)
 class PlanHistory:
-    """How a plan's customers were decided on of late: a new customer of the plan begins there.
+    """Recent admission decisions on a plan's customers, which initialize new customers of the plan.
 
     Attributes:
-        admitted_fraction: Share admitted of the requests that a sample decided; a moving average.
-        probability: Admission probability of customers without tokens; a moving average.
+        admitted_fraction: Moving average of the fraction of requests that were admitted, over the decisions
+            that were based on a sample.
+        probability: Moving average of the admission probability of customers without tokens.
     """
 
     admitted_fraction: float = 1.0
     probability: float = 1.0
 
     def record_decision(self, weight: float, *, is_admitted: bool) -> None:
-        """Add a request that a sample decided."""
+        """Update the admitted fraction with one decision that was based on a sample."""
         self.admitted_fraction += weight * (float(is_admitted) - self.admitted_fraction)
 
     def record_probability(self, weight: float, probability: float) -> None:
-        """Add the admission probability of a customer without tokens."""
+        """Update the average with the admission probability of a customer without tokens."""
         self.probability += weight * (probability - self.probability)
 
 
 class CustomerRegistry:
-    """The customers with recent requests, and how their plans' customers fared."""
+    """The customers with recent requests, and the recent admission decisions by plan."""
 
     def __init__(self, context: EngineContext) -> None:
-        """Start without customers."""
+        """Start with no customers."""
         self._context = context
         settings = context.settings
         self.uses_counter = settings.has_counter and not settings.meter_period
@@ -56,7 +58,7 @@
         self.plan_history = [PlanHistory() for _ in settings.plans]
 
     def get_or_create(self, now: float, request: ClientRequest) -> Customer:
-        """Return the customer of a request, made anew or brought in line with the request's plan and set."""
+        """Return the customer of a request, created or updated to the request's plan and limiter set size."""
         settings = self._context.settings
         plan = settings.plans[request.plan]
         limiter_set_size = min(max(1.0, request.limiter_set_size), float(settings.limiter_count))
@@ -72,7 +74,8 @@
     def _create_customer(self, now: float, request: ClientRequest, limiter_set_size: float) -> Customer:
         plan = self._context.settings.plans[request.plan]
         history = self.plan_history[request.plan]
-        # This start may be a restart, which refills nothing: the ceiling's part counts from this start on.
+        # The limiter may have been restarted, which must not refill the ceiling's bucket, so this limiter's
+        # share of it starts empty and refills from the time of the start.
         seconds_since_start = (now - self._context.started_at) / 1000
         refilled_ceiling_units = min(plan.ceiling_burst, seconds_since_start * plan.ceiling_rate)
         return Customer(
@@ -92,11 +95,11 @@
         )
 
     def _is_widely_shared(self, plan: QuotaPlan, limiter_set_size: float) -> bool:
-        """Whether a limiter's even part of the burst is under one unit: it sees too few requests to go by."""
+        """Whether the even share of the burst is under one unit, so each limiter sees too few requests."""
         return self.uses_counter and 0 < plan.burst < limiter_set_size and plan.rate > 0
 
     def lacks_samples(self, customer: Customer, now: float) -> bool:
-        """Whether a sample is missing or late, whatever the cause, so that the even split stands for it."""
+        """Whether samples are missing or overdue for any reason, so that the even split replaces them."""
         if not self.uses_counter:
             return not self._context.settings.meter_period
         report = customer.report
@@ -107,7 +110,7 @@
         return not customer.is_widely_shared
 
     def advance(self, customer: Customer, now: float) -> None:
-        """Bring the customer's buckets to `now`."""
+        """Refill the customer's token buckets up to `now`."""
         plan = customer.plan
         usage = customer.usage
         elapsed = max(0.0, now - usage.refilled_at)
@@ -120,13 +123,13 @@
     def record_attempt_end(
         self, now: float, customer: Customer, ended: AttemptEnded, billable_units: float | None
     ) -> None:
-        """Take in what an attempt that has ended tells of its customer's use.
+        """Update a customer's usage from the billed units and metered usage of an attempt that has ended.
 
         Args:
-            now: Time of the end.
-            customer: The customer of the attempt, brought to `now`.
-            ended: The end of the attempt.
-            billable_units: Units that its request took within the quota; None if it took none.
+            now: Time at which the attempt ended.
+            customer: The customer of the attempt, already advanced to `now`.
+            ended: The event that reports the end of the attempt.
+            billable_units: Units that were deducted for its request within the quota; None if none were.
         """
         if ended.billed_units is not None and billable_units is not None:
             customer.record_billing_difference(ended.billed_units - billable_units)
