--- a/limiter/policy/quota_usage.py
+++ b/limiter/policy/quota_usage.py
@@ -1,7 +1,7 @@
-"""A customer's use of its quota: a token bucket, and the admission probability that follows the utilization.
+"""A customer's usage of its quota: a token bucket, the utilization and the admission probability.
 
-The counter's samples (`sampled_usage.py`) and the gossip of other limiters (`gossiped_usage.py`) both rebuild
-a customer's use; what they compute alike is here. Types: limiter/model. Times are milliseconds.
+`sampled_usage.py` estimates the usage from samples and `gossiped_usage.py` from the gossip of other limiters.
+This module holds what both have in common. Types: limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -17,9 +17,10 @@
 
     Attributes:
         tokens: Units in the token bucket at `refilled_at`.
-        refilled_at: Time up to which the bucket is filled.
-        utilization: EWMA of the use through all limiters, as a share of the quota (the paper's rho_m).
-        probability: Admission probability of a request that the bucket does not hold (the paper's p).
+        refilled_at: Time up to which the bucket has been refilled.
+        utilization: EWMA of the usage through all limiters as a fraction of the quota (rho_m in the paper).
+        probability: Admission probability of a request for which the bucket has too few tokens (p in the
+            paper).
     """
 
     tokens: float
@@ -28,24 +29,24 @@
     probability: float = 1.0
 
     def refill(self, net_rate: float, elapsed: float, capacity: float) -> None:
-        """Fill the bucket for some time, from empty at least up to its capacity.
+        """Refill the bucket for the elapsed time, within the range from 0 to its capacity.
 
         Args:
-            net_rate: Units a millisecond: the quota's rate less the use that is to be taken from it.
-            elapsed: Milliseconds since the bucket was last filled.
-            capacity: Units that the bucket holds at most.
+            net_rate: The quota's rate minus the rate of usage to deduct, in units per millisecond.
+            elapsed: Milliseconds since the bucket was last refilled.
+            capacity: Maximum number of units in the bucket.
         """
-        # Written out, without `clamp`: this runs for each request and each entry of a gossip message.
+        # `clamp` is inlined because this runs for each request and each entry of a gossip message.
         self.tokens = min(capacity, max(0.0, self.tokens + net_rate * elapsed))
 
     def consume(self, units: float) -> None:
-        """Take the units of a request that was forwarded; the bucket never holds less than none."""
+        """Deduct the units of a forwarded request from the bucket, down to 0."""
         self.tokens = max(0.0, self.tokens - units)
 
     def update_utilization(self, sample: float, weight: float) -> None:
-        """Add a sample, use as a share of the quota, to the moving average."""
+        """Update the moving average with a sample, which is usage as a fraction of the quota."""
         self.utilization += weight * (sample - self.utilization)
 
     def update_probability(self, target: float) -> None:
-        """Multiply the admission probability by target / utilization, clamped."""
+        """Multiply the admission probability by target / utilization and clamp it."""
         self.probability = compute_updated_probability(self.probability, self.utilization, target)
--- a/limiter/policy/sampled_usage.py
+++ b/limiter/policy/sampled_usage.py
@@ -1,7 +1,7 @@
-"""A customer's use rebuilt from samples: the counter's totals, or what servers meter.
+"""A customer's usage as estimated from samples: the counter's totals or the usage that servers meter.
 
-The bucket fills at the plan's rate up to its burst, less what this limiter forwards and what the other
-limiters are estimated to forward. Types: limiter/model. Times are milliseconds.
+The bucket refills at the plan's rate up to its burst. The units that this limiter forwards, and an estimate
+of those that the other limiters forward, are deducted. Types: limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -13,35 +13,37 @@
 from limiter.policy.quota_usage import QuotaUsage
 from limiter.policy.smoothing import clamp, newest_sample_weight
 
-# Stands for the time of the last sample until there is one: before every time of the clock, so that the first
-# sample of a customer that servers meter is not too early.
+# Time of the last sample of a customer that has none. It is before any time of the clock, so that the first
+# sample of a customer that servers meter is not rejected as too early.
 NO_SAMPLE_TIME = -1.0
-# Time in which an older estimate of the other limiters' rate loses two thirds of its weight.
+# Time in which an earlier estimate of the other limiters' rate loses two thirds of its weight.
 REMOTE_RATE_TIME_CONSTANT_MS = 1000.0
-# A sample is taken to cover at least this share of the sample interval: two replies may come close together.
+# Minimum time that a sample is assumed to cover, as a fraction of the sample interval, because two replies
+# may arrive in quick succession.
 MIN_SAMPLE_INTERVAL_FRACTION = 1 / 4
-# Most updates of the probability that one total of an epoch stands for: the power of them stays finite.
+# Maximum number of probability updates that one epoch total replaces. It is the exponent of a power, which
+# has to stay finite.
 MAX_UPDATES_PER_TOTAL = 20.0
-# Least utilization that such an update reckons with, for the same reason.
+# Minimum utilization in the base of that power, for the same reason.
 MIN_UTILIZATION_PER_TOTAL = 0.1
 
 
 def even_split_remote_rate(plan: QuotaPlan, limiter_set_size: float) -> float:
-    """Return the units a millisecond that the other limiters use if the quota is split evenly."""
+    """Return the other limiters' rate in units per millisecond if the quota is split evenly."""
     return plan.rate / 1000 * (limiter_set_size - 1) / limiter_set_size
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class SampledUsage(QuotaUsage):
-    """The token bucket of one customer, and what samples say of its use through the other limiters.
+    """The token bucket of one customer, and its usage through the other limiters as estimated from samples.
 
     Attributes:
         probability_updated_at: Time of the last update of the probability.
-        remote_rate: Units a millisecond that the other limiters forward, by the last samples.
-        expected_remote_units: Units of the other limiters since the last sample that were already taken from
-            the bucket, by `remote_rate`.
-        local_units: Units forwarded from here since the last sample.
-        sampled_at: Time of the last sample; BEFORE_FIRST_SAMPLE until there is one.
+        remote_rate: Estimated rate at which the other limiters forward, in units per millisecond.
+        expected_remote_units: Units already deducted from the bucket for the other limiters since the last
+            sample, at `remote_rate`.
+        local_units: Units that this limiter has forwarded since the last sample.
+        sampled_at: Time of the last sample; NO_SAMPLE_TIME before the first one.
     """
 
     probability_updated_at: float
@@ -52,60 +54,60 @@
 
     @property
     def has_sample(self) -> bool:
-        """Whether there was a sample of this customer's use."""
+        """Whether this customer's usage has been sampled."""
         return self.sampled_at >= 0
 
     @property
     def unsampled_since(self) -> float:
-        """Time of the last sample; of a customer that was never sampled, that of its first request."""
+        """Time of the last sample, or of the first request if the customer has never been sampled."""
         return self.sampled_at if self.has_sample else self.probability_updated_at
 
     def advance(self, elapsed: float, plan: QuotaPlan) -> None:
-        """Fill the bucket for the time since it was last filled, less the estimated use of the others."""
+        """Refill the bucket for the elapsed time, minus the estimated usage of the other limiters."""
         remote_rate = self.remote_rate
-        # What `refill` does, written out, since this runs for each request and each end of an attempt.
+        # `refill` is inlined because this runs for each request and each end of an attempt.
         refilled_tokens = self.tokens + (plan.rate / 1000 - remote_rate) * elapsed
         self.tokens = min(plan.burst, max(0.0, refilled_tokens))
         self.expected_remote_units += remote_rate * elapsed
         self.refilled_at += elapsed
 
     def advance_by_even_split(self, elapsed: float, plan: QuotaPlan, limiter_set_size: float) -> None:
-        """Fill this limiter's even part of the bucket: it stands for samples that are missing."""
+        """Refill this limiter's even share of the bucket, which applies while samples are missing."""
         remote_rate = even_split_remote_rate(plan, limiter_set_size)
         self.refill(plan.rate / 1000 - remote_rate, elapsed, plan.burst / limiter_set_size)
         self.expected_remote_units += remote_rate * elapsed
         self.refilled_at += elapsed
 
     def record_forwarded_units(self, units: float, *, within_quota: bool) -> None:
-        """Account for a request that is forwarded from here; beyond the quota it takes no tokens."""
+        """Record a request that this limiter forwards; it consumes tokens only if it is within the quota."""
         if within_quota:
             self.consume(units)
         self.local_units += units
 
     def record_billing_difference(self, extra_units: float, plan: QuotaPlan) -> None:
-        """Take what a forwarded request was billed beyond its estimate; less than it, where negative."""
+        """Deduct the units billed beyond a request's estimate; a negative number returns tokens."""
         self.tokens = min(plan.burst, self.tokens - extra_units)
         self.local_units += extra_units
 
     def set_tokens(self, tokens: float) -> None:
-        """Go by the bucket that gossip rebuilds."""
+        """Set the bucket to the tokens estimated from gossip."""
         self.tokens = tokens
 
     def set_probability(self, probability: float) -> None:
-        """Go by the admission probability that gossip rebuilds."""
+        """Set the admission probability to the one estimated from gossip."""
         self.probability = probability
 
     def empty_bucket(self) -> None:
-        """Leave no tokens: the next requests are decided by the admission probability."""
+        """Empty the bucket, so that the admission probability decides on the next requests."""
         self.tokens = 0.0
 
     def record_sample(self, now: float, plan: QuotaPlan, remote_units: float) -> None:
-        """Correct the bucket by a sample, then update the utilization and the admission probability.
+        """Correct the bucket with a sample, then update the utilization and the admission probability.
 
         Args:
             now: Time of the sample.
             plan: The customer's plan.
-            remote_units: Units that the other limiters forwarded since the last sample.
+            remote_units: Units that the other limiters have forwarded since the last sample.
         """
         rate = plan.rate / 1000
         elapsed = max(now - self.sampled_at, throttle.SAMPLE_INTERVAL_MS * MIN_SAMPLE_INTERVAL_FRACTION)
@@ -122,9 +124,9 @@
             self.probability_updated_at = now
 
     def _sample_weight(self, utilization_sample: float, elapsed: float, plan: QuotaPlan) -> float:
-        """Return the weight of a sample: a rise counts at once, a fall over the burst time.
+        """Return the weight of a sample: a rise applies immediately, a fall gradually over the burst time.
 
-        Samples of customers with few units jump to zero and back.
+        The samples of a customer with few units alternate between zero and high values.
         """
         if utilization_sample > self.utilization:
             return throttle.UTILIZATION_EWMA_WEIGHT
@@ -132,23 +134,25 @@
         return min(refilled_fraction, throttle.UTILIZATION_EWMA_WEIGHT)
 
     def _start_sample_period(self, now: float) -> None:
-        """Count local and expected use anew: the use up to now is known."""
+        """Reset the local and expected units, since the usage up to now has been sampled."""
         self.sampled_at = now
         self.local_units = 0.0
         self.expected_remote_units = 0.0
 
     def start_even_split_sample(self) -> None:
-        """Measure the first sample, which the even split stands for, from the first request on."""
+        """Set the start of a sample that the even split replaces; a first one starts at the first request."""
         self.sampled_at = self.unsampled_since
 
     def record_first_total(self, now: float, plan: QuotaPlan, remote_units: float, elapsed: float) -> None:
-        """Judge by the first total of an epoch: distinguish a steady use from a bucket that was drained.
+        """Set the bucket from a customer's first total, assuming either steady usage or a single burst.
+
+        The estimate that leaves more tokens applies.
 
         Args:
             now: Time of the total.
             plan: The customer's plan.
-            remote_units: Units that the other limiters forwarded in the epoch.
-            elapsed: Milliseconds since the epoch began, 1 at least.
+            remote_units: Units that the other limiters have forwarded in the epoch.
+            elapsed: Milliseconds since the epoch started; at least 1.
         """
         tokens_after_steady_usage = plan.burst * (1 - 1000 * remote_units / max(plan.rate * elapsed, 1e-9))
         tokens_after_initial_burst = plan.burst - remote_units
@@ -160,13 +164,14 @@
     def record_slot_total(
         self, plan: QuotaPlan, used_units: float, elapsed: float, slot_unit_limit: float
     ) -> None:
-        """Go by what the total of a slot leaves of its units.
+        """Set the tokens to the units that remain in a slot according to its total.
 
         Args:
             plan: The customer's plan.
-            used_units: Units that all limiters reported in the slot, those held here for the reply left out.
-            elapsed: Milliseconds since the slot began.
-            slot_unit_limit: Units that may be used in the slot.
+            used_units: Units that all limiters have reported in the slot, except those of requests that this
+                limiter holds for the reply.
+            elapsed: Milliseconds since the slot started.
+            slot_unit_limit: Maximum number of units in the slot.
         """
         self._set_capped_remote_rate(plan, used_units, elapsed)
         self.tokens = slot_unit_limit - used_units
@@ -174,14 +179,15 @@
     def record_epoch_total(
         self, now: float, plan: QuotaPlan, used_units: float, elapsed: float, tokens_at_start: float
     ) -> None:
-        """Judge a widely shared customer by one total alone.
+        """Set the tokens, utilization and probability of a widely shared customer from a single total.
 
         Args:
             now: Time of the total.
             plan: The customer's plan.
-            used_units: Units that all limiters reported in the epoch, those held here for the reply left out.
-            elapsed: Milliseconds since the epoch began.
-            tokens_at_start: Units that the bucket is taken to have held when the epoch began.
+            used_units: Units that all limiters have reported in the epoch, except those of requests that this
+                limiter holds for the reply.
+            elapsed: Milliseconds since the epoch started.
+            tokens_at_start: Units that the bucket is assumed to have held when the epoch started.
         """
         rate = plan.rate / 1000
         self._set_capped_remote_rate(plan, used_units, elapsed)
@@ -197,14 +203,14 @@
         self.remote_rate = min(plan.rate / 1000, used_rate)
 
     def _update_probability_over_interval(self, elapsed: float) -> None:
-        """Make the updates of all intervals that one total covers, of which it is the only sample."""
+        """Apply the probability updates of all update intervals that one total covers as its only sample."""
         update_count = min(elapsed / throttle.UPDATE_INTERVAL_MS, MAX_UPDATES_PER_TOTAL)
         utilization = max(self.utilization, MIN_UTILIZATION_PER_TOTAL)
         factor = (throttle.TARGET_UTILIZATION / utilization) ** update_count
         self.probability = throttle.clamp_probability(self.probability * factor)
 
     def time_until_available(self, units: float, plan: QuotaPlan, limiter_set_size: float) -> float:
-        """Return the milliseconds until the bucket holds so many units, if the others go on as of late."""
+        """Return the milliseconds until the bucket holds `units` if the other limiters' rate is constant."""
         rate = plan.rate / 1000
         if rate <= 0:
             return 0.0
