--- a/limiter/policy/usage_gossip.py
+++ b/limiter/policy/usage_gossip.py
@@ -1,8 +1,9 @@
-"""Gossip between limiters: how much each customer uses through all of them, and how loaded each of them is.
+"""Gossip between limiters about the usage of each customer and the load of each limiter.
 
-A customer whose requests go through many limiters is seen too rarely by each of them to know its use. So each
-limiter broadcasts, at intervals, the units that it forwarded for each customer and its own attempts in
-flight; each rebuilds the customers' token buckets from these. Types: limiter/model. Times are milliseconds.
+When the requests of a customer are spread over many limiters, each of them receives too few to estimate the
+customer's usage. Therefore each limiter periodically broadcasts the units that it has forwarded for each
+customer, and its own attempts in flight. Each receiver estimates the customers' token buckets from these
+messages. Types: limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -18,26 +19,25 @@
 from limiter.policy.peer_load import PeerLoad
 from limiter.policy.throttle import UPDATE_INTERVAL_MS
 
-# Share of the messages a limiter may receive that all others together send it: those beyond the limit are
-# dropped.
+# Fraction of a limiter's maximum receive rate that all other limiters together use. Messages beyond the
+# maximum are dropped.
 MAX_INTAKE_FRACTION = 0.8
-# Least time between two messages of a limiter, T_m of the design page.
+# Minimum mean time between two messages of a limiter, T_m on the design page.
 MIN_GOSSIP_INTERVAL_MS = 200.0
-# Intervals without any message after which what other limiters sent counts as out of date.
+# Number of intervals without any message after which the received usage counts as out of date.
 MAX_INTERVALS_WITHOUT_MESSAGE = 3.0
-# Limiters send their messages at times that differ by this share of the interval, so that not all send
-# together.
+# Maximum random change of an interval, as a fraction of it, so that limiters do not all send together.
 GOSSIP_INTERVAL_JITTER_FRACTION = 0.2
-# A sum of units this close to a number counts as that number, for the rounding errors of adding up.
+# Maximum rounding error of a sum of units: a sum this close to a whole number counts as that number.
 UNIT_ROUNDING_TOLERANCE = 1e-6
 
 
 class GossipedQuota(NamedTuple):
-    """What gossip says of a customer's quota.
+    """The state of a customer's quota as estimated from gossip.
 
     Attributes:
-        tokens: Units that the bucket holds, less what other limiters have likely used and not yet sent.
-        probability: Admission probability of a request that the bucket does not hold.
+        tokens: Units in the bucket, minus an estimate of the usage that other limiters have not yet sent.
+        probability: Admission probability of a request for which the bucket has too few tokens.
     """
 
     tokens: float
@@ -45,26 +45,26 @@
 
 
 class UsageGossip:
-    """One limiter's side of the gossip: what it still has to send, and what it received.
+    """Queues and encodes the units that one limiter has to send, and records those that it receives.
 
     Attributes:
-        is_enabled: Whether the settings allow gossip and there is another limiter.
+        is_enabled: Whether the settings allow gossip and there is at least one other limiter.
         interval: Mean time between two messages of a limiter.
         peer_load: The load of the other limiters.
-        usage_table: The customers' use through all limiters.
+        usage_table: The customers' usage through all limiters.
         last_message_at: Time of the last message received; minus infinity before the first one.
     """
 
     def __init__(self, context: EngineContext) -> None:
-        """Start with nothing to send and nothing received."""
+        """Start with no units to send and no messages received."""
         settings = context.settings
         peer_count = settings.limiter_count - 1
         intake_per_second = settings.max_received_gossip_per_second
         self._context = context
         self._plans = settings.plans
         self.is_enabled = settings.may_gossip and intake_per_second > 0 and peer_count > 0
-        # A receiver gets messages at the same rate in a fleet of any size: in a larger one each limiter sends
-        # fewer.
+        # The receive rate is the same in a fleet of any size, because each limiter sends less often in a
+        # larger fleet.
         self.interval = max(
             MIN_GOSSIP_INTERVAL_MS, 1000.0 * peer_count / max(MAX_INTAKE_FRACTION * intake_per_second, 1e-9)
         )
@@ -72,41 +72,41 @@
         self.usage_table = GossipedUsageTable(sample_interval=max(UPDATE_INTERVAL_MS, 2 * self.interval))
         self.last_message_at = -math.inf
         self._is_scheduled = False
-        # Units by plan index and customer; those that have waited for longest come first.
+        # Unsent units by plan index and customer; those that have waited for longest come first.
         self._unsent: dict[tuple[int, int], float] = {}
         self._mean_latency = 0.0
 
     @property
     def has_unsent_units(self) -> bool:
-        """Whether units were forwarded that no message has named yet."""
+        """Whether any forwarded units have not been sent in a message yet."""
         return bool(self._unsent)
 
     def unsent_units(self, customer: int, plan_index: int) -> float:
-        """Return the units of a customer that were forwarded and that no message has named yet."""
+        """Return the forwarded units of a customer that have not been sent in a message yet."""
         return self._unsent.get((plan_index, customer), 0.0)
 
     def set_mean_latency(self, latency: float) -> None:
-        """Note the mean latency of an attempt, over all limiters."""
+        """Set the mean latency of an attempt across all limiters."""
         self._mean_latency = latency
 
     def get_usage(self, now: float, customer: int, plan_index: int) -> GossipedUsage:
-        """Return a customer's use as of `now`."""
+        """Return a customer's usage as of `now`."""
         return self.usage_table.get_or_create(now, customer, self._plans[plan_index], self._mean_latency)
 
     def estimate_quota(self, now: float, request: ClientRequest) -> GossipedQuota:
-        """Return what is left of the quota of a request's customer, as of `now`."""
+        """Return the estimated state, as of `now`, of the quota of a request's customer."""
         usage = self.get_usage(now, request.customer, request.plan)
-        # On average, half an interval of the other limiters' use has not arrived yet.
+        # On average, the other limiters' usage of the last half interval has not been received yet.
         unreceived_units = usage.utilization * usage.plan.rate / 1000 * self.interval / 2
         return GossipedQuota(usage.tokens - unreceived_units, usage.probability)
 
     def is_fresh(self, now: float) -> bool:
-        """Whether a message came lately, or this limiter has just started."""
+        """Whether gossip is enabled and a message has arrived, or this limiter has started, recently."""
         fresh_since = max(self.last_message_at, self._context.started_at)
         return self.is_enabled and now - fresh_since < MAX_INTERVALS_WITHOUT_MESSAGE * self.interval
 
     def record_forwarded_units(self, now: float, customer: int, plan_index: int, units: float) -> None:
-        """Account for a request that was forwarded from here, and queue its units for the next messages."""
+        """Record the units of a request that this limiter forwarded, and queue them for the next message."""
         if not self.is_enabled:
             return
         self.get_usage(now, customer, plan_index).record_forwarded_units(units)
@@ -114,7 +114,7 @@
         self._unsent[key] = self._unsent.get(key, 0.0) + units
 
     def schedule(self) -> None:
-        """Have a message sent after an interval, unless one is due already."""
+        """Schedule a message after one interval, unless one is already scheduled."""
         if self.is_enabled and not self._is_scheduled:
             self._is_scheduled = True
             jitter_factor = self._context.random.uniform(
@@ -123,19 +123,19 @@
             self._context.set_timer(self.interval * jitter_factor, TimerToken.USAGE_GOSSIP)
 
     def send(self, in_flight: int, latency: float) -> None:
-        """Send the message that is due.
+        """Send the scheduled message.
 
         Args:
-            in_flight: Attempts in flight from here.
-            latency: Mean latency of an attempt from here.
+            in_flight: Number of this limiter's attempts in flight.
+            latency: Mean latency of this limiter's attempts.
         """
         self._is_scheduled = False
         self._context.actions.append(BroadcastGossip(self.encode_message(in_flight, latency)))
 
     def encode_message(self, in_flight: int, latency: float) -> bytes:
-        """Return one message with this limiter's load and as many unsent units as fit.
+        """Return a message with this limiter's load and as many whole unsent units as fit.
 
-        Fractions of a unit stay unsent.
+        Fractions of a unit and the units that do not fit stay queued.
         """
         writer = UsageWriter(in_flight, latency)
         for key, units in list(self._unsent.items()):
@@ -151,7 +151,7 @@
         return writer.message()
 
     def receive(self, now: float, body: bytes) -> None:
-        """Take in a message of another limiter; a malformed one is ignored as a whole."""
+        """Record the load and units in another limiter's message; a malformed message is ignored entirely."""
         message = decode_usage(body, len(self._context.settings.plans))
         if message is None or not self.is_enabled:
             return
