--- a/limiter/policy/usage_report.py
+++ b/limiter/policy/usage_report.py
@@ -1,6 +1,6 @@
-"""What this limiter reports to the counter of one customer's use, and the last total that it read there.
+"""The usage of one customer that this limiter reports to the counter, and the last total that it has read.
 
-Types: limiter/model. Times are milliseconds.
+Types: limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 
 def counter_key(customer: int, epoch: int, slot_length: float = 0.0) -> int:
-    """Return the key under which all limiters count a customer's use in an epoch: a splitmix64 hash.
+    """Return the counter key, a splitmix64 hash, of a customer's usage through all limiters in an epoch.
 
     Args:
         customer: The customer's number.
         epoch: The number of the epoch.
-        slot_length: Milliseconds of an epoch that is a slot; slots have keys of their own. 0 for other
-            epochs.
+        slot_length: Length in milliseconds of an epoch that is a slot, so that slots have separate keys; 0
+            for other epochs.
     """
     hashed = customer * 0x9E3779B97F4A7C15 + epoch * 0xD1B54A32D192ED03 + 1
     hashed = (hashed + round(slot_length) * 0x8CB92BA72F3D8DD7) & _MASK_64
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterEpoch:
-    """A span of time over which the use of a customer is counted under one key.
+    """A period in which a customer's usage is counted under one key.
 
     Attributes:
-        index: Its number since the clock's zero.
-        length: Milliseconds that it lasts.
-        start: Time at which it begins.
+        index: The epoch's number, counted from time 0 of the clock.
+        length: Its length in milliseconds.
+        start: Time at which it starts.
     """
 
     index: int
@@ -43,23 +43,24 @@
 
 @dataclass(slots=True, eq=False)
 class UsageReport:
-    """The units of one customer on their way to the counter.
+    """The units of one customer that still have to be added to the counter, and the state of its calls.
 
     Attributes:
-        unreported_units: Units forwarded from here and not yet added to the counter.
-        unconfirmed_units: Units of calls that were never answered, so that they may or may not have been
-            added.
+        unreported_units: Units that this limiter has forwarded and has not yet sent to the counter.
+        unconfirmed_units: Units of calls that timed out, which may or may not have been added.
         units_in_call: Units of the call in flight; None while there is none.
-        reserved_units: Units that the call in flight reports ahead, for requests that are held for its reply.
-        epoch: The epoch that was counted last; None before the first call.
-        key: The key of that epoch.
-        is_slot_epoch: Whether that epoch is a slot, decided by one total and within the time of half a burst.
-        total: The last total of the epoch, of all limiters.
+        reserved_units: Units that the call in flight reports in advance, for requests that are held for its
+            reply.
+        epoch: The epoch of the last call; None before the first call.
+        key: The counter key of that epoch; None before the first call.
+        is_slot_epoch: Whether that epoch is a slot: it lasts as long as half a burst takes to refill, and its
+            total alone decides on the requests in it.
+        total: The last total read in the epoch, over all limiters.
         last_total_at: Time of `total`; None before the first one.
-        sample_due_since: Since when a sample has been wanted; None while there is none to wait for.
+        sample_due_since: Time since which a sample has been due; None while none is due.
         next_call_at: Time before which no further call is made.
         call_started_at: Time at which the last call was made.
-        consecutive_failed_calls: Calls without a total, in a row.
+        consecutive_failed_calls: Number of calls without a total since the last total.
     """
 
     unreported_units: float = 0.0
@@ -78,50 +79,50 @@
 
     @property
     def is_call_in_flight(self) -> bool:
-        """Whether a call is in flight: there is never a second one for the same customer."""
+        """Whether a call is in flight; a customer has at most one at a time."""
         return self.units_in_call is not None
 
     def add_unreported(self, units: float) -> None:
-        """Add units that were forwarded, or take back units that were reported ahead, if negative."""
+        """Add forwarded units to report, or cancel units that were reported in advance if negative."""
         self.unreported_units += units
 
     def set_unreported(self, units: float) -> None:
-        """Report just these units in the next call: in a slot only what asks for the reply counts."""
+        """Report only these units in the next call; a slot counts only requests that need its total."""
         self.unreported_units = units
 
     def reserve(self, units: float) -> None:
-        """Note that the call in flight reports these units ahead, for a request held for its reply."""
+        """Record units that the call in flight reports in advance, for a request held for its reply."""
         self.reserved_units += units
 
     def release_reservation(self) -> None:
-        """Forget the units reported ahead: the requests that were held are decided on."""
+        """Reset the units reported in advance, once the requests that were held can be decided."""
         self.reserved_units = 0.0
 
     def mark_sample_due(self, now: float) -> None:
-        """Note that a sample is wanted from now on, unless one has been wanted already."""
+        """Record that a sample is due from now on, unless one is already due."""
         if self.sample_due_since is None:
             self.sample_due_since = now
 
     def delay_next_call(self, until: float) -> None:
-        """Make no further call before this time."""
+        """Set the time before which no further call is made."""
         self.next_call_at = until
 
     def set_epoch_kind(self, *, is_slot: bool) -> None:
-        """Note whether the next call counts a slot."""
+        """Set whether the next call belongs to a slot."""
         self.is_slot_epoch = is_slot
 
     def start_epoch(self, epoch: CounterEpoch, key: int) -> None:
-        """Count under another key from now on: nothing is known of its total yet."""
+        """Start counting under the key of another epoch, whose total is not known yet."""
         self.epoch = epoch
         self.key = key
         self.total = 0.0
         self.unconfirmed_units = 0.0
 
     def start_call(self, now: float) -> float:
-        """Begin a call that adds all unreported units.
+        """Start a call that reports all unreported units.
 
         Returns:
-            The units that it adds.
+            The units that the call reports.
         """
         units = self.unreported_units
         self.unreported_units = 0.0
@@ -130,21 +131,21 @@
         return units
 
     def end_call(self) -> float:
-        """End the call in flight.
+        """Record the end of the call in flight.
 
         Returns:
-            The units that it added, if it was served.
+            The units that the call reported, which were added to the counter if it succeeded.
         """
         units = self.units_in_call or 0.0
         self.units_in_call = None
         return units
 
     def mark_call_failed(self, units: float, *, is_uncertain: bool) -> None:
-        """Note that a call with these units failed.
+        """Record a failed call; its units become unreported again unless they may have been added.
 
         Args:
-            units: The units of the call.
-            is_uncertain: Whether they may have been added all the same.
+            units: The units that the call reported.
+            is_uncertain: Whether the counter may have added the units despite the failure.
         """
         self.consecutive_failed_calls += 1
         if is_uncertain:
@@ -153,12 +154,12 @@
             self.unreported_units += units
 
     def requeue_unconfirmed_units(self) -> None:
-        """Report the unconfirmed units again: the last total shows that they were not added."""
+        """Mark the unconfirmed units as unreported, because the last total shows that they were not added."""
         self.unreported_units += self.unconfirmed_units
 
-    def record_total(self, now: float, total: float) -> None:
-        """Take in a total that the counter replied with."""
-        self.total = total
+    def record_total(self, now: float, total_units: float) -> None:
+        """Record a total that the counter returned, and reset the failure count and the due sample."""
+        self.total = total_units
         self.last_total_at = now
         self.unconfirmed_units = 0.0
         self.consecutive_failed_calls = 0
--- a/limiter/policy/usage_reporting.py
+++ b/limiter/policy/usage_reporting.py
@@ -1,4 +1,7 @@
-"""When a customer's own use is reported to the counter. Types: limiter/model. Times are milliseconds."""
+"""Decides when this limiter reports a customer's usage to the counter.
+
+Types: limiter/model. Times are in milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -7,34 +10,34 @@
 from limiter.policy.open_request import OpenRequest
 from limiter.policy.usage_sampling import UsageSampler
 
-# Time that use waits for its call while the bucket is well filled, so that one call reports several requests.
+# Delay of a report while the bucket has enough tokens, so that one call reports several requests.
 REPORT_DELAY_MS = 1000.0
-# Time after which a customer whose use could not be reported is looked at again.
+# Time after which a customer whose usage could not be reported is rechecked.
 REPORT_RETRY_DELAY_MS = REPORT_DELAY_MS / 4
-# Share of the burst below which the tokens count as nearly used up.
+# Fraction of the burst; with fewer tokens than this, the quota counts as nearly used up.
 NEAR_QUOTA_BURST_FRACTION = 1 / 2
-# A limiter reports at once when it owes more than this share of its even part of the burst.
+# A limiter reports immediately if its unreported units exceed this fraction of its even share of the burst.
 MAX_UNREPORTED_FRACTION = 1 / 4
 
 
 class UsageReporter:
-    """Reports the use of customers that a limiter sees enough of.
+    """Reports the usage of customers that are not widely shared.
 
-    Use of widely shared customers is reported with the requests that are held for the reply, or by gossip.
+    The usage of widely shared customers is reported by the calls for which requests are held, or by gossip.
     """
 
     def __init__(self, sampler: UsageSampler, housekeeping: CustomerHousekeeping) -> None:
-        """Start without use to report.
+        """Create a reporter.
 
         Args:
             sampler: Makes the calls to the counter.
-            housekeeping: Looks at customers again whose use waits for its call.
+            housekeeping: Schedules the recheck of customers that have unreported usage.
         """
         self._sampler = sampler
         self._housekeeping = housekeeping
 
     def report_after_decision(self, now: float, request: OpenRequest, *, is_admitted: bool) -> None:
-        """Report the use after a decision: at once where the quota is nearly used, else some time later."""
+        """Report the usage after a decision: immediately if the quota is nearly used up, otherwise later."""
         customer = request.customer
         if customer.is_widely_shared:
             return
@@ -46,7 +49,7 @@
 
     @staticmethod
     def _is_near_quota(customer: Customer) -> bool:
-        """Whether the quota is nearly used, or too little is known to tell."""
+        """Whether the quota is nearly used up, or may be: there is no sample or much usage is unreported."""
         burst = customer.plan.burst
         scaled_unreported_units = (
             customer.report.unreported_units / MAX_UNREPORTED_FRACTION * customer.limiter_set_size
@@ -55,16 +58,16 @@
         return is_nearly_used or not customer.usage.has_sample or scaled_unreported_units > burst
 
     def report_overdue_usage(self, now: float, customer: Customer) -> None:
-        """Report use that has waited for long."""
+        """Report usage if the last sample is older than the report delay."""
         if self.has_unreported_usage(customer) and now - customer.usage.sampled_at > REPORT_DELAY_MS:
             self._sampler.call_counter(now, customer)
 
     def schedule_recheck(self, now: float, customer: Customer) -> None:
-        """Look at the customer again if use is left to report."""
+        """Schedule a recheck of the customer if it still has unreported usage."""
         if self.has_unreported_usage(customer):
             self._housekeeping.schedule(now, REPORT_RETRY_DELAY_MS, customer)
 
     def has_unreported_usage(self, customer: Customer) -> bool:
-        """Whether use of the customer waits for its call."""
+        """Whether the customer has unreported usage that this reporter is responsible for."""
         has_unreported_units = bool(customer.report.unreported_units)
         return has_unreported_units and not customer.is_widely_shared
--- a/limiter/policy/usage_sampling.py
+++ b/limiter/policy/usage_sampling.py
@@ -1,7 +1,7 @@
-"""Sampling of use with the shared counter: when it is called, under which key, and what a reply means.
+"""Samples usage with the shared counter: decides when to call it and under which key, and handles replies.
 
-A call adds this limiter's own use to the key of the customer's epoch and reads the total of all limiters.
-Types: limiter/model. Times are milliseconds.
+A call adds this limiter's own usage to the key of the customer's epoch and reads the total of all limiters.
+Types: limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -19,68 +19,73 @@
 from limiter.policy.usage_gossip import UsageGossip
 from limiter.policy.usage_report import CounterEpoch, counter_key
 
-# Longest epoch. A key lives for two epochs, and the counter grants a life of 60 s at most.
+# Maximum epoch length. A key lives for two epochs, and the counter allows a time to live of at most 60 s.
 MAX_EPOCH_MS = 30000.0
-# Times of a burst that an epoch of a widely shared customer lasts. What a quiet start of the epoch leaves
-# over is admitted on top of the burst, so that a long epoch admits floods.
+# Epoch length of a widely shared customer, as a multiple of the time in which its burst refills. Units that
+# are unused early in an epoch are admitted later on top of the burst, so a long epoch would admit floods.
 WIDELY_SHARED_EPOCH_BURSTS = 1.5
-# Share of a burst that may be used in one slot, so that the order of requests in it does not matter.
+# Fraction of a burst that may be used in one slot, so that the order of requests in the slot does not matter.
 SLOT_BURST_FRACTION = 1 / 2
-# Share of the counter's time-out beyond its best latency that counts as its full load.
+# Latency above the minimum at which the counter counts as fully loaded, as a fraction of the time between the
+# minimum latency and the time-out.
 FULL_LOAD_LATENCY_FRACTION = 0.6
-# Least probability of a call that is wanted, so that an overloaded counter is seen to recover.
+# Minimum probability of making a requested call, so that the recovery of an overloaded counter is detected.
 MIN_CALL_PROBABILITY = 0.05
-# Largest factor by which the call probability moves with one reply.
+# Maximum factor by which one reply raises or lowers the call probability.
 MAX_CALL_PROBABILITY_STEP = 2.0
-# Factor by which the best latency grows with each reply: it is forgotten slowly.
+# Factor by which the minimum latency grows with each reply, so that an old minimum expires slowly.
 MIN_LATENCY_GROWTH_FACTOR = 1.01
-# Units by which totals may be off: the counter is exact to seven digits only.
+# Maximum error of a total in units, because the counter is exact to seven digits only.
 TOTAL_TOLERANCE_UNITS = 1e-3
-# The next call of a customer comes after the sample interval, more or less by this share of it.
+# Maximum random change of the time until a customer's next call, as a fraction of the sample interval.
 SAMPLE_INTERVAL_JITTER_FRACTION = 0.2
-# The bucket of a widely shared customer is taken to begin an epoch filled to the share of its requests that
-# were admitted, raised to this power.
+# The bucket of a widely shared customer is assumed to start an epoch filled to this power of the customer's
+# admitted fraction.
 INITIAL_FILL_EXPONENT = 4
 
 
 def slot_unit_limit(plan: QuotaPlan) -> float:
-    """Return the units that may be used in one slot, one at least."""
+    """Return the maximum number of units in one slot, which is at least 1."""
     return max(1.0, math.floor(plan.burst * SLOT_BURST_FRACTION))
 
 
 class UsageSampler:
-    """Calls to the counter, made with a lower probability while it is overloaded.
+    """Calls the counter, with a lower probability while it is overloaded.
 
     Attributes:
-        call_probability: Probability with which a call that is wanted is made.
+        call_probability: Probability with which a requested call is made.
     """
 
     def __init__(self, context: EngineContext, customers: CustomerRegistry, gossip: UsageGossip) -> None:
-        """Start without a call in flight.
+        """Start with no call in flight.
 
         Args:
-            context: What the parts of the engine share.
+            context: The state that the parts of the engine share.
             customers: The customers that are sampled.
-            gossip: Tells whether a slot or a whole epoch is counted for widely shared customers.
+            gossip: Whether it is fresh determines whether calls for widely shared customers count a slot or a
+                whole epoch.
         """
         self._context = context
         self._customers = customers
         self._gossip = gossip
         self.call_probability = 1.0
-        # Customers whose call is in flight, by the counter key of the call.
+        # Customers with a call in flight, by the counter key of the call.
         self._customer_by_call_key: dict[int, Customer] = {}
-        # The newest epoch of each length, which all customers with epochs of that length share.
+        # The newest epoch by epoch length, shared by all customers with epochs of that length.
         self._newest_epochs: dict[float, CounterEpoch] = {}
-        # The shortest latency of a reply, which is forgotten slowly; None before the first reply.
+        # The minimum latency of a reply, which grows slowly with each reply; None before the first one.
         self._min_latency: float | None = None
 
     @property
     def calls_in_flight(self) -> int:
-        """Calls that have not ended yet."""
+        """Number of calls that have not ended yet."""
         return len(self._customer_by_call_key)
 
     def call_counter(self, now: float, customer: Customer) -> bool:
-        """Report the customer's use, or only read the total.
+        """Call the counter to report the customer's unreported units, if any, and to read the total.
+
+        No call is made without a counter, while one is in flight, before the next call time (which does not
+        apply to widely shared customers), or if the random draw by the call probability fails.
 
         Returns:
             Whether a call was made.
@@ -104,7 +109,7 @@
         return True
 
     def _record_even_split_sample(self, now: float, customer: Customer) -> None:
-        """Let the even split stand for a sample that is missing."""
+        """Record a sample that assumes the even split if samples are missing."""
         usage = customer.usage
         if not self._customers.lacks_samples(customer, now):
             return
@@ -119,7 +124,7 @@
         self._context.actions.append(IncrementCounter(key, reported_units, time_to_live=2 * epoch.length))
 
     def _select_epoch(self, now: float, customer: Customer) -> tuple[CounterEpoch, int]:
-        """Return the epoch of `now`, and the key under which the customer is counted in it."""
+        """Return the epoch at `now` and the customer's counter key in it; start the epoch if it is new."""
         report = customer.report
         epoch = self._get_epoch_at(now, self._epoch_length(customer))
         if report.key is None or epoch != report.epoch:
@@ -137,7 +142,7 @@
         return newest
 
     def _epoch_length(self, customer: Customer) -> float:
-        """Return how long one key counts; all limiters with the same settings derive the same."""
+        """Return the length of the customer's epoch, which all limiters derive from the same settings."""
         if not customer.is_widely_shared:
             return MAX_EPOCH_MS
         plan = customer.plan
@@ -146,10 +151,10 @@
         return min(MAX_EPOCH_MS, WIDELY_SHARED_EPOCH_BURSTS * 1000 * plan.burst / plan.rate)
 
     def handle_reply(self, now: float, reply: CounterReply) -> Customer | None:
-        """Take in the end of a call.
+        """Handle the end of a call.
 
         Returns:
-            The customer that it was made for; None where no call under its key is in flight.
+            The customer for whom the call was made; None if no call with its key is in flight.
         """
         customer = self._customer_by_call_key.pop(reply.key, None)
         if customer is None:
@@ -159,7 +164,8 @@
         self._customers.advance(customer, now)
         self._adjust_call_probability(reply)
         if reply.outcome is not Outcome.OK:
-            # A sample is missing, whatever the cause: the even split or the probability stands for it.
+            # Whatever the cause of the failure, the even split or the admission probability replaces the
+            # missing sample.
             report.mark_call_failed(added_units, is_uncertain=reply.outcome is Outcome.TIMEOUT)
             return customer
         if customer.is_widely_shared:
@@ -170,7 +176,7 @@
         return customer
 
     def _adjust_call_probability(self, reply: CounterReply) -> None:
-        """Follow the counter's load as the throttle follows a quota's use: times target / load, clamped."""
+        """Multiply the call probability by target / load, clamped, as the throttle does for a quota."""
         timeout = self._context.settings.counter_timeout
         latency = timeout
         if reply.outcome is Outcome.OK:
@@ -194,7 +200,7 @@
 
     @staticmethod
     def _record_widely_shared_total(now: float, customer: Customer, used_units: float) -> None:
-        """Judge a widely shared customer by one total alone."""
+        """Update a widely shared customer's usage from a single total."""
         plan = customer.plan
         report = customer.report
         assert report.epoch is not None
@@ -202,26 +208,29 @@
         if report.is_slot_epoch:
             customer.usage.record_slot_total(plan, used_units, elapsed, slot_unit_limit(plan))
             return
-        # The bucket is taken to have begun the epoch as recent decisions left it.
+        # Recent decisions determine how full the bucket is assumed to have been at the start of the epoch.
         tokens_at_start = plan.burst * customer.admitted_fraction**INITIAL_FILL_EXPONENT
         customer.usage.record_epoch_total(now, plan, used_units, elapsed, tokens_at_start)
 
-    def _record_total_growth(self, now: float, customer: Customer, total: float, added_units: float) -> None:
-        """Sample the other limiters' use: what the total grew by, less what this limiter added.
+    def _record_total_growth(
+        self, now: float, customer: Customer, reply_total_units: float, added_units: float
+    ) -> None:
+        """Record a sample of the other limiters' usage: the growth of the total minus this limiter's units.
 
         Args:
             now: Time of the reply.
-            customer: The customer that was counted.
-            total: The total of the reply.
+            customer: The customer whose usage was counted.
+            reply_total_units: The total in the reply.
             added_units: Units that the call added.
         """
         usage = customer.usage
         report = customer.report
-        growth_units = total - report.total
+        growth_units = reply_total_units - report.total
         reported_own_units = added_units + report.unconfirmed_units
         if growth_units + TOTAL_TOLERANCE_UNITS < added_units:
-            # The counter lost counts: the greater of what is known stands for the others' use.
-            remote_units = max(total - added_units, usage.expected_remote_units)
+            # The counter has lost counts, so the greater of the two estimates of the other limiters' usage
+            # applies.
+            remote_units = max(reply_total_units - added_units, usage.expected_remote_units)
         elif self._customers.lacks_samples(customer, now):
             remote_units = self._estimate_overdue_remote_units(
                 now, customer, growth_units - reported_own_units
@@ -244,12 +253,15 @@
 
     @staticmethod
     def _estimate_overdue_remote_units(now: float, customer: Customer, remote_growth_units: float) -> float:
-        """Return the others' use since a sample that is long ago: by even split or growth, the greater.
+        """Return the other limiters' estimated usage since an overdue sample.
+
+        This is the greater of the usage by the even split, which is already deducted from the bucket, and the
+        usage at the rate at which the total grew.
 
         Args:
             now: Time of the total.
-            customer: The customer that was counted.
-            remote_growth_units: Units by which the others' use in the epoch grew since the last total.
+            customer: The customer whose usage was counted.
+            remote_growth_units: Units that the other limiters have added in the epoch since the last total.
         """
         usage = customer.usage
         report = customer.report
