--- a/limiter/policy/sampled_usage.py
+++ b/limiter/policy/sampled_usage.py
@@ -41,7 +41,7 @@
         probability_updated_at: Time of the last update of the probability.
         remote_rate: Estimated rate at which the other limiters forward, in units per millisecond.
         expected_remote_units: Units already deducted from the bucket for the other limiters since the last
-            sample, at `remote_rate`.
+            sample, at `remote_rate` or, while samples are missing, at the rate of the even split.
         local_units: Units that this limiter has forwarded since the last sample.
         sampled_at: Time of the last sample; NO_SAMPLE_TIME before the first one.
     """
