--- a/limiter/policy/customer_housekeeping.py
+++ b/limiter/policy/customer_housekeeping.py
@@ -10,7 +10,8 @@
 from limiter.policy.context import EngineContext, TimerToken
 from limiter.policy.customer import Customer
 
-# A round of rechecks may start this much early, because rounding may make its timer fire slightly early.
+# A round of rechecks may start this much before its due time, because a timer, including one that was set for
+# an earlier round, may fire early by a rounding error.
 TIMER_EARLY_TOLERANCE_MS = 1.0
 
 
