--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -137,7 +137,7 @@
     engine.handle(first_call_at, CounterReply(counter_key_of(customer), Outcome.TIMEOUT, 0.0, 50.0))
     customer.report.delay_next_call(until=0.0)
     sampler.call_counter(second_call_at, customer)
-    total = customer.report.total + (5.0 if was_added else 0.0)
+    total = customer.report.last_total_units + (5.0 if was_added else 0.0)
     engine.handle(second_call_at, CounterReply(counter_key_of(customer), Outcome.OK, total, 2.0))
     assert customer.report.unreported_units == still_unreported
 
@@ -152,7 +152,7 @@
     driver.now += 500.0
     driver.engine.usage_sampler.call_counter(driver.now, customer)
     driver.engine.handle(driver.now, CounterReply(counter_key_of(customer), Outcome.OK, 2.0, 2.0))
-    assert customer.report.total == 2.0
+    assert customer.report.last_total_units == 2.0
     assert customer.usage.tokens <= tokens_before + 5.0  # the bucket is not filled anew
     assert customer.report.consecutive_failed_calls == 0
 
--- a/tests/policy/test_usage_sampling.py
+++ b/tests/policy/test_usage_sampling.py
@@ -23,7 +23,7 @@
     customer.usage.set_tokens(20.0)
     assert sampler.call_counter(driver.now + 250.0, customer)
     driver.now += 1250.0
-    used_by_others = customer.report.total + 40.0  # the split would stand for 7
+    used_by_others = customer.report.last_total_units + 40.0  # the split would stand for 7
     driver.feed(CounterReply(counter_key_of(customer), Outcome.OK, used_by_others, 2.0))
     assert customer.usage.tokens == 0.0
 
