--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -7,7 +7,7 @@
 from limiter.model.actions import SendAttempt
 from limiter.model.events import NOT_EXECUTED_OUTCOMES, AttemptEnded, Outcome
 from scale.hollow.context import Context
-from scale.hollow.requests import Attempt, Request, RequestLedger, RequestOwner
+from scale.hollow.requests import Attempt, Request, RequestOwner, RequestTracker
 from scale.hollow.server import Server
 from scale.hollow.tally import RequestOutcome
 
@@ -22,7 +22,7 @@
         self,
         context: Context,
         servers: Mapping[bytes, Server],
-        ledger: RequestLedger,
+        ledger: RequestTracker,
     ) -> None:
         """Take the servers by id, and the ledger of the requests that attempts are made for."""
         self._clock = context.clock
@@ -51,7 +51,7 @@
         request.attempt_began(attempt)
         self._tally.attempt_sent()
         server = attempt.server
-        self._network.call_after_delay(limiter.zone, server.zone, server.arrive, attempt)
+        self._network.call_after_delay(limiter.zone, server.zone, server.receive_job, attempt)
         if timeout < time_left - TIMEOUT_MARGIN_MS:
             self._clock.call_at(now + timeout, self.end, attempt, Outcome.TIMEOUT)
 
@@ -71,7 +71,7 @@
         if outcome not in NOT_EXECUTED_OUTCOMES:
             request.ran()
         if outcome is Outcome.OK and request.outcome is None:
-            self._ledger.end(request, RequestOutcome.SERVED)
+            self._ledger.end_request(request, RequestOutcome.SERVED)
         event = AttemptEnded(
             request_id=request.event.id,
             attempt=attempt.number,
@@ -88,7 +88,7 @@
         attempt.end()
         if not attempt.is_over:
             server = attempt.server
-            self._network.call_after_delay(attempt.limiter.zone, server.zone, server.leave, attempt)
+            self._network.call_after_delay(attempt.limiter.zone, server.zone, server.remove_job, attempt)
 
     def _server_replied(self, attempt: Attempt, outcome: Outcome) -> None:
         """Send a server's response to the limiter."""
@@ -99,5 +99,5 @@
         request = attempt.request
         now = self._clock.now
         units = request.event.units
-        self._tally.units_forwarded(now, units, request.quota.take(now, units))
+        self._tally.units_forwarded(now, units, request.quota.take_units(now, units))
         self._gossip_ages.record_usage(now, attempt.limiter.number, request.event.customer, units)
--- a/scale/hollow/clients.py
+++ b/scale/hollow/clients.py
@@ -9,7 +9,7 @@
 from scale.hollow.context import Context
 from scale.hollow.customers import Arrivals, Customer
 from scale.hollow.limiters import Limiter, LimiterHost
-from scale.hollow.requests import Request, RequestLedger
+from scale.hollow.requests import Request, RequestTracker
 from scale.hollow.tally import RequestOutcome
 
 UNITS_PER_REQUEST = 1.0
@@ -36,7 +36,7 @@
         arrivals: Arrivals,
         host: LimiterHost,
         attempts: AttemptDriver,
-        ledger: RequestLedger,
+        ledger: RequestTracker,
     ) -> None:
         """Send nothing until `start`."""
         # All requests so far, also those of the warm-up and those that reached no limiter.
@@ -156,7 +156,7 @@
         if request.outcome is None:
             is_idempotent = self._classes[request.event.request_class].is_idempotent
             may_retry = not request.may_have_run or is_idempotent
-            self._ledger.end(request, RequestOutcome.REJECTED if may_retry else RequestOutcome.FAILED)
+            self._ledger.end_request(request, RequestOutcome.REJECTED if may_retry else RequestOutcome.FAILED)
             self._tally.driver_ended_request()
             limiter.feed(ClientDisconnected(request.event.id))
         self._ledger.forget_if_over(limiter, request)
--- a/scale/hollow/counter.py
+++ b/scale/hollow/counter.py
@@ -19,7 +19,7 @@
 class CounterTotal(NamedTuple):
     """Sum of the amounts added to a key, until it expires."""
 
-    value: float
+    units: float
     expires_at: float  # ms
 
 
@@ -28,9 +28,9 @@
 
     def __init__(self, network: Network, parameters: CounterParameters, seed: int) -> None:
         """Stand in the first zone of the region that the parameters name."""
-        self.totals: dict[int, CounterTotal] = {}
+        self.totals_by_key: dict[int, CounterTotal] = {}
         self.calls = 0
-        self.rejected_calls = 0
+        self.rejected_call_count = 0
         self.timed_out_calls = 0
         self.is_down = False
         self._clock = network.clock
@@ -47,23 +47,23 @@
         """Call from that zone; `on_reply` is called exactly once, at the time-out at the latest."""
         self.calls += 1
         called_at = self._clock.now
-        delay = self._network.delay(zone, self._zone)
+        delay = self._network.draw_delay(zone, self._zone)
         if self.is_down or math.isinf(delay):
             self._time_out(called_at, on_reply)
         else:
             self._clock.call_at(called_at + delay, self._arrived, zone, call, on_reply, called_at)
 
-    def fail(self) -> None:
+    def begin_outage(self) -> None:
         """Begin an outage: calls time out until `restore`."""
         self.is_down = True
 
-    def restore(self) -> None:
+    def end_outage(self) -> None:
         """End an outage; totals were kept."""
         self.is_down = False
 
     def _arrived(self, zone: int, call: IncrementCounter, on_reply: ReplyCallback, called_at: float) -> None:
         now = self._clock.now
-        delay = self._network.delay(zone, self._zone)
+        delay = self._network.draw_delay(zone, self._zone)
         if self.is_down:
             self._time_out(called_at, on_reply)
             return
@@ -76,20 +76,20 @@
             self._idle_at = max(now, self._idle_at) + self._service_time_ms
             done_at = self._idle_at + self._rng.uniform(*self._parameters.latency)
         else:
-            self.rejected_calls += 1
+            self.rejected_call_count += 1
         if done_at + delay > called_at + self._parameters.timeout:
             self._time_out(called_at, on_reply)
         else:
             self._clock.call_at(done_at + delay, on_reply, outcome, total)
 
     def _add_to_total(self, now: float, call: IncrementCounter) -> float:
-        total = self.totals.get(call.key)
+        total = self.totals_by_key.get(call.key)
         if total is None or now >= total.expires_at:
             lifetime = min(call.time_to_live, self._parameters.max_time_to_live)
             total = CounterTotal(0.0, now + lifetime)
-        total = CounterTotal(total.value + call.units_to_add, total.expires_at)
-        self.totals[call.key] = total
-        return total.value
+        total = CounterTotal(total.units + call.units_to_add, total.expires_at)
+        self.totals_by_key[call.key] = total
+        return total.units
 
     def _time_out(self, called_at: float, on_reply: ReplyCallback) -> None:
         self.timed_out_calls += 1
--- a/scale/hollow/discovery.py
+++ b/scale/hollow/discovery.py
@@ -39,18 +39,18 @@
         """The whole list, as a limiter gets it when it starts."""
         return EndpointsChanged(tuple(self.endpoints.values()), is_full_list=True)
 
-    def observe(self, endpoints: Iterable[Endpoint], delay: Range) -> None:
+    def report_changes(self, endpoints: Iterable[Endpoint], delay: Range) -> None:
         """Changes that happen now; discovery learns of each after a delay drawn from the range, in ms."""
         for endpoint in endpoints:
             self._observed_count += 1
             due = self._clock.now + self._rng.uniform(*delay)
             self._clock.call_at(due, self._learn, endpoint, self._observed_count)
 
-    def fail(self) -> None:
+    def begin_outage(self) -> None:
         """Begin an outage: changes are held back until `restore`."""
         self.is_down = True
 
-    def restore(self) -> None:
+    def end_outage(self) -> None:
         """End an outage: push what was held back."""
         self.is_down = False
         held_back = tuple(self._held_back)
--- a/scale/hollow/faults.py
+++ b/scale/hollow/faults.py
@@ -57,11 +57,11 @@
                 end = self._clock.now + fault.lasting
                 self._clock.call_at(end, self._partitioned_regions.discard, fault.region)
             case CounterOutage():
-                self._host.counter.fail()
-                self._clock.call_at(self._clock.now + fault.lasting, self._host.counter.restore)
+                self._host.counter.begin_outage()
+                self._clock.call_at(self._clock.now + fault.lasting, self._host.counter.end_outage)
             case DiscoveryOutage():
-                self._discovery.fail()
-                self._clock.call_at(self._clock.now + fault.lasting, self._discovery.restore)
+                self._discovery.begin_outage()
+                self._clock.call_at(self._clock.now + fault.lasting, self._discovery.end_outage)
 
     def _sample(self, count: int, share: float) -> list[int]:
         """Draw that share of the numbers below `count`."""
--- a/scale/hollow/gossip_age.py
+++ b/scale/hollow/gossip_age.py
@@ -57,11 +57,11 @@
     ) -> None:
         """Count usage from `begin` to `end`, in ms."""
         # How often each age occurred, by age in steps.
-        self.ages: dict[int, int] = {}
+        self.counts_by_age: dict[int, int] = {}
         # Pairs of a usage and another limiter that serves its customer.
-        self.expected = 0
+        self.expected_pair_count = 0
         # Pairs whose limiter has learnt of the usage.
-        self.learnt = 0
+        self.learnt_pair_count = 0
         self._customers = customers
         self._begin = begin
         self._end = end
@@ -75,7 +75,7 @@
         by_customer.setdefault(customer, deque()).append(UnreportedUsage(now, units))
         if self._begin <= now < self._end:
             limiters = self._customers[customer].used_limiters
-            self.expected += len(limiters) - (limiter in limiters)
+            self.expected_pair_count += len(limiters) - (limiter in limiters)
 
     def message_sent(self, sender: int, engine: PolicyEngine, body: bytes) -> GossipMessage:
         """Find the usage that a message reports in full, the oldest first, and its receivers."""
@@ -99,8 +99,8 @@
         """Count the ages of what a receiver learns."""
         for used_at in message.usage_times.get(receiver, ()):
             age = int((now - used_at) / AGE_STEP_MS)
-            self.ages[age] = self.ages.get(age, 0) + 1
-            self.learnt += 1
+            self.counts_by_age[age] = self.counts_by_age.get(age, 0) + 1
+            self.learnt_pair_count += 1
 
     def discard(self, limiter: int) -> None:
         """A limiter was killed: what it did not report is never learnt."""
--- a/scale/hollow/limiters.py
+++ b/scale/hollow/limiters.py
@@ -37,7 +37,7 @@
 from scale.hollow.gossip_age import GossipMessage
 from scale.hollow.network import GossipNetwork
 from scale.hollow.plan import ClassParameters, HollowExperiment, PlanParameters
-from scale.hollow.requests import Request, RequestLedger
+from scale.hollow.requests import Request, RequestTracker
 from scale.hollow.tally import RequestOutcome
 
 
@@ -129,7 +129,7 @@
     """Starts and kills limiters, hands them events and carries out their actions."""
 
     def __init__(
-        self, context: Context, ledger: RequestLedger, discovery: Discovery, attempts: AttemptDriver
+        self, context: Context, ledger: RequestTracker, discovery: Discovery, attempts: AttemptDriver
     ) -> None:
         """Make the limiters, all down, and the gossip network and the counter that they talk to."""
         experiment = context.experiment
@@ -173,7 +173,7 @@
             for attempt in request.in_flight[:]:
                 self._attempts.release(attempt)
             if request.outcome is None:
-                self._ledger.end(request, RequestOutcome.KILLED)
+                self._ledger.end_request(request, RequestOutcome.KILLED)
 
     def _carry_out(self, limiter: Limiter, engine: PolicyEngine, action: Action) -> None:
         match action:
--- a/scale/hollow/network.py
+++ b/scale/hollow/network.py
@@ -48,7 +48,7 @@
         self._parameters = experiment.network
         self._rng = Random(f"{experiment.seed}:wires")
 
-    def delay(self, zone: int, other: int) -> float:
+    def draw_delay(self, zone: int, other: int) -> float:
         """Draw the one-way delay between two zones, in ms; infinite across a partition."""
         if zone == other:
             return self._rng.uniform(*self._parameters.same_zone)
@@ -68,7 +68,7 @@
         self, zone: int, other: int, callback: Callable[[*Arguments], None], *args: *Arguments
     ) -> None:
         """Schedule `callback(*args)` for the arrival of a packet; it never arrives across a partition."""
-        delay = self.delay(zone, other)
+        delay = self.draw_delay(zone, other)
         if not math.isinf(delay):
             self.clock.call_at(self.clock.now + delay, callback, *args)
 
@@ -82,7 +82,7 @@
         """Hand each datagram that arrives to `deliver(receiver, message)`."""
         self.clock = network.clock
         self.deliver = deliver
-        self.intakes = [GossipIntake(experiment.network) for _ in range(experiment.limiters)]
+        self.intakes = [GossipReceiveLimit(experiment.network) for _ in range(experiment.limiters)]
         self._network = network
         self._parameters = experiment.network
         self._rng = np.random.default_rng([experiment.seed, 2])
@@ -116,14 +116,14 @@
             self.deliver(receiver, message)
 
 
-class GossipIntake:
+class GossipReceiveLimit:
     """Token bucket of the datagrams that one limiter takes in; datagrams beyond it are dropped."""
 
-    __slots__ = ("_burst", "_rate", "_tokens", "_updated_at", "dropped")
+    __slots__ = ("_burst", "_rate", "_tokens", "_updated_at", "dropped_datagram_count")
 
     def __init__(self, parameters: NetworkParameters) -> None:
         """Start with a full bucket."""
-        self.dropped = 0
+        self.dropped_datagram_count = 0
         self._rate = parameters.peer_intake / 1000  # datagrams a ms
         self._burst = parameters.peer_intake_burst
         self._tokens = self._burst
@@ -134,7 +134,7 @@
         self._tokens = min(self._burst, self._tokens + self._rate * (now - self._updated_at))
         self._updated_at = now
         if self._tokens < 1:
-            self.dropped += 1
+            self.dropped_datagram_count += 1
             return False
         self._tokens -= 1
         return True
--- a/scale/hollow/quota.py
+++ b/scale/hollow/quota.py
@@ -19,7 +19,7 @@
         self._tokens = plan.burst
         self._updated_at = 0.0
 
-    def take(self, now: float, units: float) -> bool:
+    def take_units(self, now: float, units: float) -> bool:
         """Take the units of a request that is forwarded now; False, taking none, if they exceed the quota."""
         self._refill(now)
         if self._rate and self._tokens < units:
@@ -29,7 +29,7 @@
         self._tokens -= units
         return True
 
-    def attempt_began(self) -> None:
+    def record_attempt_start(self) -> None:
         """Count an attempt as in flight."""
         self.in_flight += 1
 
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -60,7 +60,7 @@
         """Enter the next attempt of the request."""
         self.attempt_count += 1
         self.in_flight.append(attempt)
-        self.quota.attempt_began()
+        self.quota.record_attempt_start()
 
     def attempt_ended(self, attempt: Attempt) -> None:
         """Take an attempt that ended at the limiter off those in flight."""
@@ -111,12 +111,12 @@
         self.is_ended = True
         self.request.attempt_ended(self)
 
-    def replied(self, outcome: Outcome) -> None:
+    def handle_reply(self, outcome: Outcome) -> None:
         """Take the server's response, which leaves the server now."""
         self._on_reply(self, outcome)
 
 
-class RequestLedger:
+class RequestTracker:
     """Gives requests their final outcomes, counts them, and forgets requests that are over."""
 
     def __init__(self, context: Context) -> None:
@@ -129,7 +129,7 @@
         limiter.requests[request.event.id] = request
         self._tally.request_opened()
 
-    def end(self, request: Request, outcome: RequestOutcome) -> None:
+    def end_request(self, request: Request, outcome: RequestOutcome) -> None:
         """End a request for its client.
 
         Raises:
@@ -144,7 +144,7 @@
         request = limiter.requests.get(request_id)
         if request is None or request.outcome is not None:
             return
-        self.end(request, outcome)
+        self.end_request(request, outcome)
         self.forget_if_over(limiter, request)
 
     def forget_if_over(self, limiter: RequestOwner, request: Request) -> None:
--- a/scale/hollow/result_lines.py
+++ b/scale/hollow/result_lines.py
@@ -120,7 +120,7 @@
         **gossip,
         **_gossip_age_figures(simulation),
         "list_changes": simulation.discovery.changes,
-        "servers_fallen": sum(server.crashes for server in servers.values()),
+        "servers_fallen": sum(server.crash_count for server in servers.values()),
     }
 
 
@@ -132,14 +132,14 @@
         "fault": str(type(fault).__struct_config__.tag),
         "at_ms": fault.at,
         "ends_ms": fault.at + fault.duration(),
-        **simulation.tally.recovery(fault.at),
+        **simulation.tally.measure_recovery(fault.at),
     }
 
 
 def gossip_figures(simulation: Simulation) -> GossipFigures:
     """Count the messages between limiters so far, by seconds in which requests arrive."""
     seconds = simulation.experiment.duration / 1000
-    limiters = simulation.host.limiters
+    limiters = simulation.limiter_host.limiters
 
     def rate(counts: list[int]) -> dict[str, float]:
         return mean_and_max_rate(counts, seconds)
@@ -150,7 +150,9 @@
         "messages_heard_per_s": rate([limiter.gossip_received for limiter in limiters]),
         "bytes_sent_per_s": rate([limiter.gossip_bytes_sent for limiter in limiters]),
         "bytes_heard_per_s": rate([limiter.gossip_bytes_received for limiter in limiters]),
-        "messages_dropped": sum(intake.dropped for intake in simulation.host.gossip_network.intakes),
+        "messages_dropped": sum(
+            intake.dropped_datagram_count for intake in simulation.limiter_host.gossip_network.intakes
+        ),
     }
 
 
@@ -188,10 +190,10 @@
 
 
 def _counter_figures(simulation: Simulation) -> CounterFigures:
-    counter = simulation.host.counter
+    counter = simulation.limiter_host.counter
     return {
         "counter_calls": counter.calls,
-        "counter_full": counter.rejected_calls,
+        "counter_full": counter.rejected_call_count,
         "counter_unanswered": counter.timed_out_calls,
         "counter_calls_a_request": ratio(counter.calls, simulation.clients.sent_count),
     }
@@ -203,9 +205,11 @@
     interval_ms = 1000 * (simulation.experiment.limiters - 1) / (MAX_INTAKE_FRACTION * intake)
     return {
         "telling_interval_ms": rounded(interval_ms),
-        "news_pairs": ages.expected,
-        "news_age_ms": _named_quantiles(ages.ages, MAX_AGE_STEPS, AGE_STEP_MS),
-        "news_never_learnt": ratio(ages.expected - ages.learnt, ages.expected),
+        "news_pairs": ages.expected_pair_count,
+        "news_age_ms": _named_quantiles(ages.counts_by_age, MAX_AGE_STEPS, AGE_STEP_MS),
+        "news_never_learnt": ratio(
+            ages.expected_pair_count - ages.learnt_pair_count, ages.expected_pair_count
+        ),
     }
 
 
--- a/scale/hollow/run.py
+++ b/scale/hollow/run.py
@@ -38,7 +38,7 @@
         gossip = gossip_figures(simulation)
         max_deadline = max(request_class.deadline for request_class in experiment.classes)
         simulation.run(experiment.duration + experiment.clients.retry_delay[1] + 2 * max_deadline)
-        check(simulation)
+        check_all_requests_ended(simulation)
         record(summary(simulation, gossip))
         for fault in experiment.faults:
             record(fault_line(simulation, fault))
@@ -54,7 +54,7 @@
         gc.enable()
 
 
-def check(simulation: Simulation) -> None:
+def check_all_requests_ended(simulation: Simulation) -> None:
     """Raise AssertionError unless every request has one final outcome and no attempt is left."""
     tally = simulation.tally
     if tally.open_requests:
--- a/scale/hollow/server.py
+++ b/scale/hollow/server.py
@@ -11,22 +11,22 @@
 from limiter.model.events import Endpoint, EndpointState, Outcome
 from scale.hollow.clock import VirtualClock
 from scale.hollow.plan import ServerParameters
-from scale.hollow.slow_start import slow_start_capacity, tolerated_arrivals
+from scale.hollow.slow_start import compute_capacity_fraction, compute_tolerated_arrivals
 
 
 class ServerJob(ABC):
     """A request at a server, from its sending to its end there. The server alone writes its state."""
 
-    __slots__ = ("is_over", "is_started", "work")
+    __slots__ = ("is_over", "is_started", "work_ms")
 
-    def __init__(self, work: float) -> None:
+    def __init__(self, work_ms: float) -> None:
         """Take `work` ms of one core of a warm server."""
-        self.work = work
+        self.work_ms = work_ms
         self.is_started = False
         self.is_over = False
 
     @abstractmethod
-    def replied(self, outcome: Outcome) -> None:
+    def handle_reply(self, outcome: Outcome) -> None:
         """Take the server's response, which leaves the server now."""
 
 
@@ -35,7 +35,7 @@
     """What all servers of an experiment have in common."""
 
     parameters: ServerParameters
-    mean_work: float  # mean work of all requests, in ms of one core
+    mean_work_ms: float  # mean work of all requests, in ms of one core
 
 
 class Server:
@@ -58,10 +58,10 @@
         self.started_at = -math.inf  # ms; start of the process
         self.is_up = True
         self.is_draining = False
-        self.crashes = 0
+        self.crash_count = 0
         self._clock = clock
         self._parameters = model.parameters
-        self._mean_work = model.mean_work
+        self._mean_work = model.mean_work_ms
         self._on_crash = on_crash
         self._is_machine_lost = False  # if so, packets to it get no reply, not even a reset
         self._running_count = 0
@@ -80,9 +80,9 @@
         """Present capacity as a share of the full one; during slow start it grows linearly."""
         parameters = self._parameters
         age = self._clock.now - self.started_at
-        return slow_start_capacity(age, parameters.slow_start_duration, parameters.slow_start_capacity)
+        return compute_capacity_fraction(age, parameters.slow_start_duration, parameters.slow_start_capacity)
 
-    def arrive(self, job: ServerJob) -> None:
+    def receive_job(self, job: ServerJob) -> None:
         """Run, queue or reject a job; one that arrives at a process that is down fails to connect."""
         if self._is_machine_lost or job.is_over:
             return
@@ -91,14 +91,14 @@
         elif self.is_draining:
             _end(job, Outcome.REJECTED)
         elif self._is_in_slow_start() and self._is_overloaded():
-            self.crashes += 1
+            self.crash_count += 1
             self.stop()
             self._on_crash(self)
             _end(job, Outcome.CONNECT_FAILED)
         else:
             self._accept(job)
 
-    def leave(self, job: ServerJob) -> None:
+    def remove_job(self, job: ServerJob) -> None:
         """End a job, whether done or cancelled: its core or place in the queue is free at once."""
         if job.is_over:
             return
@@ -154,7 +154,7 @@
             self._recent_arrivals.popleft()
         rate_factor = parameters.slow_start_overload * self.capacity()
         allowed = rate_factor * parameters.slow_start_window * parameters.cores / self._mean_work
-        return len(self._recent_arrivals) > tolerated_arrivals(allowed)
+        return len(self._recent_arrivals) > compute_tolerated_arrivals(allowed)
 
     def _accept(self, job: ServerJob) -> None:
         if self._running_count < self._parameters.cores:
@@ -170,7 +170,7 @@
     def _run(self, job: ServerJob) -> None:
         self._running_count += 1
         job.is_started = True
-        self._clock.call_at(self._clock.now + job.work / self.capacity(), self._finish, job)
+        self._clock.call_at(self._clock.now + job.work_ms / self.capacity(), self._finish, job)
 
     def _start_queued(self) -> None:
         while self._queue and self._running_count < self._parameters.cores:
@@ -181,11 +181,11 @@
 
     def _finish(self, job: ServerJob) -> None:
         if not job.is_over:
-            self.leave(job)
-            job.replied(Outcome.OK)
+            self.remove_job(job)
+            job.handle_reply(Outcome.OK)
 
 
 def _end(job: ServerJob, outcome: Outcome) -> None:
     """End a job that is not running or queued any more."""
     job.is_over = True
-    job.replied(outcome)
+    job.handle_reply(outcome)
--- a/scale/hollow/servers.py
+++ b/scale/hollow/servers.py
@@ -43,12 +43,12 @@
             server.stop(is_machine_lost)
             self._clock.call_at(self._clock.now + down, self._restart, server)
         ended = [server.endpoint(EndpointState.GONE) for server in stopped]
-        self._discovery.observe(ended, self._delays.stopped)
+        self._discovery.report_changes(ended, self._delays.stopped)
 
     def drain(self, server: Server, duration: float) -> None:
         """Drain a server; after `duration` ms a new one takes its place."""
         server.drain()
-        self._discovery.observe([server.endpoint(EndpointState.DRAINING)], AT_ONCE)
+        self._discovery.report_changes([server.endpoint(EndpointState.DRAINING)], AT_ONCE)
         self._clock.call_at(self._clock.now + duration, self._replace, server)
 
     def _add(self) -> Server:
@@ -59,15 +59,15 @@
         return server
 
     def _crashed(self, server: Server) -> None:
-        self._discovery.observe([server.endpoint(EndpointState.GONE)], self._delays.stopped)
+        self._discovery.report_changes([server.endpoint(EndpointState.GONE)], self._delays.stopped)
 
     def _restart(self, server: Server) -> None:
         server.start()
-        self._discovery.observe([server.endpoint(EndpointState.READY)], self._delays.started)
+        self._discovery.report_changes([server.endpoint(EndpointState.READY)], self._delays.started)
 
     def _replace(self, server: Server) -> None:
         if not server.is_up:
             return
         server.stop()
-        self._discovery.observe([server.endpoint(EndpointState.GONE)], AT_ONCE)
+        self._discovery.report_changes([server.endpoint(EndpointState.GONE)], AT_ONCE)
         self._restart(self._add())
--- a/scale/hollow/simulation.py
+++ b/scale/hollow/simulation.py
@@ -10,7 +10,7 @@
 from scale.hollow.faults import FaultInjector
 from scale.hollow.limiters import LimiterHost
 from scale.hollow.plan import HollowExperiment
-from scale.hollow.requests import RequestLedger
+from scale.hollow.requests import RequestTracker
 from scale.hollow.servers import ServerFleet
 
 
@@ -29,18 +29,18 @@
         self.network = context.network
         self.tally = context.tally
         self.gossip_ages = context.gossip_ages
-        self.ledger = RequestLedger(context)
+        self.request_tracker = RequestTracker(context)
         self.discovery = Discovery(self.clock, experiment)
         self.servers = ServerFleet(context, self.discovery)
-        attempts = AttemptDriver(context, self.servers.servers, self.ledger)
-        self.host = LimiterHost(context, self.ledger, self.discovery, attempts)
-        self.clients = Clients(context, arrivals, self.host, attempts, self.ledger)
-        self.host.handle_rejections(self.clients)
-        for limiter in self.host.limiters:
+        attempts = AttemptDriver(context, self.servers.servers, self.request_tracker)
+        self.limiter_host = LimiterHost(context, self.request_tracker, self.discovery, attempts)
+        self.clients = Clients(context, arrivals, self.limiter_host, attempts, self.request_tracker)
+        self.limiter_host.handle_rejections(self.clients)
+        for limiter in self.limiter_host.limiters:
             start_at = context.rng.uniform(*experiment.start_delay)
-            self.clock.call_at(start_at, self.host.start, limiter)
+            self.clock.call_at(start_at, self.limiter_host.start, limiter)
         self.clients.start()
-        FaultInjector(context, self.host, self.servers, self.discovery).start()
+        FaultInjector(context, self.limiter_host, self.servers, self.discovery).start()
 
     def run(self, until: float) -> None:
         """Let everything happen up to that time, in ms."""
--- a/scale/hollow/slow_start.py
+++ b/scale/hollow/slow_start.py
@@ -5,7 +5,7 @@
 import math
 
 
-def slow_start_capacity(age_ms: float, duration_ms: float, initial_capacity: float) -> float:
+def compute_capacity_fraction(age_ms: float, duration_ms: float, initial_capacity: float) -> float:
     """Compute a server's present capacity as a share of its full one.
 
     Args:
@@ -18,7 +18,7 @@
     return initial_capacity + (1 - initial_capacity) * age_ms / duration_ms
 
 
-def tolerated_arrivals(expected: float) -> float:
+def compute_tolerated_arrivals(expected: float) -> float:
     """Number of arrivals in a window that a server in slow start tolerates, where `expected` are allowed.
 
     Arrivals that are random vary by the square root of their expected number; two of these deviations and
--- a/scale/hollow/tally.py
+++ b/scale/hollow/tally.py
@@ -53,7 +53,7 @@
         self.units = 0.0  # units forwarded
         self.units_beyond_quota = 0.0  # units forwarded although their quota was used up
         # Units beyond quotas, by the bin of time in which they were forwarded.
-        self.bins = [0.0] * (math.ceil(experiment.duration / BIN_MS) + 1)
+        self.units_beyond_quota_by_bin = [0.0] * (math.ceil(experiment.duration / BIN_MS) + 1)
         # How often each latency occurred, by latency in us.
         self.latencies: dict[int, int] = {}
         self.attempt_outcomes = dict.fromkeys(Outcome, 0)
@@ -109,13 +109,13 @@
             return
         self.units_beyond_quota += units
         if now < self._duration:
-            self.bins[int(now / BIN_MS)] += units
+            self.units_beyond_quota_by_bin[int(now / BIN_MS)] += units
 
     def attempt_ended(self, outcome: Outcome) -> None:
         """A limiter learns how an attempt ended."""
         self.attempt_outcomes[outcome] += 1
 
-    def recovery(self, fault_at: float) -> Recovery:
+    def measure_recovery(self, fault_at: float) -> Recovery:
         """Measure how long after a fault units beyond quotas are back at their level for good.
 
         Units are summed in sliding windows. The level before the fault is the mean of the sums of all full
@@ -125,7 +125,9 @@
         """
         width = max(1, round(self._window / BIN_MS))  # bins in a window
         bin_count = int(self._duration / BIN_MS)
-        sums = {end: sum(self.bins[end - width : end]) for end in range(width, bin_count + 1)}
+        sums = {
+            end: sum(self.units_beyond_quota_by_bin[end - width : end]) for end in range(width, bin_count + 1)
+        }
         fault_bin = fault_at / BIN_MS
         first_end = math.ceil(self._warm_up / BIN_MS) + width
         before = [
--- a/tests/scale/test_hollow_simulated_peers.py
+++ b/tests/scale/test_hollow_simulated_peers.py
@@ -12,7 +12,7 @@
 from scale.hollow.clock import FanOut, VirtualClock
 from scale.hollow.counter import SharedCounter
 from scale.hollow.discovery import Discovery
-from scale.hollow.network import GossipIntake, Network
+from scale.hollow.network import GossipReceiveLimit, Network
 from scale.hollow.plan import CounterParameters, NetworkParameters, PlanParameters, ServerParameters
 from scale.hollow.quota import Quota
 from scale.hollow.server import Server, ServerJob, ServerModel
@@ -45,10 +45,10 @@
 
     def __init__(self, outcomes: list[Outcome]) -> None:
         """Add the outcome to the list."""
-        super().__init__(work=100.0)
+        super().__init__(work_ms=100.0)
         self._outcomes = outcomes
 
-    def replied(self, outcome: Outcome) -> None:
+    def handle_reply(self, outcome: Outcome) -> None:
         """Record the outcome."""
         self._outcomes.append(outcome)
 
@@ -62,14 +62,14 @@
         figures = ServerParameters(per_limiter=1.0, **parameters)
         self.outcomes: list[Outcome] = []
         self.crashed: list[Server] = []
-        model = ServerModel(figures, mean_work=100.0)
+        model = ServerModel(figures, mean_work_ms=100.0)
         self.server = Server(self.clock, model, number=0, zone=0, on_crash=self.crashed.append)
         self.server.started_at = started_at
 
     def send(self) -> ServerJob:
         """A request of mean work arrives."""
         job = RecordedJob(self.outcomes)
-        self.server.arrive(job)
+        self.server.receive_job(job)
         return job
 
 
@@ -87,11 +87,11 @@
 
 
 def test_a_gossip_intake_drops_datagrams_beyond_its_rate_and_burst() -> None:
-    intake = GossipIntake(NetworkParameters(peer_intake=10.0, peer_intake_burst=2.0))
+    intake = GossipReceiveLimit(NetworkParameters(peer_intake=10.0, peer_intake_burst=2.0))
     assert [intake.admit(0.0) for _ in range(5)] == [True, True, False, False, False]
     assert not intake.admit(99.0)
     assert intake.admit(101.0)
-    assert intake.dropped == 4
+    assert intake.dropped_datagram_count == 4
 
 
 def test_the_counter_adds_in_order_and_rejects_calls_beyond_its_queue() -> None:
@@ -103,7 +103,7 @@
     assert len(bench.replies) == 10
     assert 4 <= len(totals) <= 5
     assert totals == [float(number + 1) for number in range(len(totals))]
-    assert bench.counter.rejected_calls == 10 - len(totals)
+    assert bench.counter.rejected_call_count == 10 - len(totals)
     bench.add(time_to_live=100.0)
     bench.clock.run(90.0)
     assert bench.replies[-1][:2] == (Outcome.OK, len(totals) + 1.0)
@@ -118,23 +118,23 @@
     bench.add(time_to_live=9999.0)
     bench.clock.run(100.0)
     assert bench.replies == [(Outcome.TIMEOUT, 0.0, 30.0)]
-    assert bench.counter.totals[COUNTER_KEY].value == 1.0  # added all the same
-    bench.counter.fail()
+    assert bench.counter.totals_by_key[COUNTER_KEY].units == 1.0  # added all the same
+    bench.counter.begin_outage()
     bench.add(time_to_live=9999.0)
-    bench.counter.restore()
+    bench.counter.end_outage()
     bench.network.partitioned_regions.add(1)
     bench.add(time_to_live=9999.0, zone=1)
     bench.clock.run(200.0)
     assert bench.replies[1:] == [(Outcome.TIMEOUT, 0.0, 130.0)] * 2
-    assert bench.counter.totals[COUNTER_KEY].value == 1.0
+    assert bench.counter.totals_by_key[COUNTER_KEY].units == 1.0
 
 
 def test_a_server_runs_a_job_on_each_core_queues_some_and_rejects_the_rest() -> None:
     bench = ServerBench(WARM, cores=2, queue=3)
     jobs = [bench.send() for _ in range(8)]
     assert bench.outcomes == [Outcome.REJECTED] * 3
-    bench.server.leave(jobs[0])  # cancelled: its core is free at once
-    bench.server.leave(jobs[4])  # and a place in the queue
+    bench.server.remove_job(jobs[0])  # cancelled: its core is free at once
+    bench.server.remove_job(jobs[4])  # and a place in the queue
     bench.send()
     bench.clock.run(100.0)
     assert bench.outcomes[3:] == [Outcome.OK] * 2
@@ -163,10 +163,10 @@
     expected_jobs = 2.0 * 0.2 * 1000 * 2 / 100  # requests of mean work in a window of 1 s
     for _ in range(int(expected_jobs + 2 * math.sqrt(expected_jobs) + 2)):
         bench.send()
-    assert bench.server.crashes == 0
+    assert bench.server.crash_count == 0
     assert bench.server.is_up
     bench.send()
-    assert bench.server.crashes == len(bench.crashed) == crashes
+    assert bench.server.crash_count == len(bench.crashed) == crashes
     assert bench.server.is_up is not bool(crashes)
 
 
@@ -181,20 +181,20 @@
 
 def test_a_quota_refills_at_its_rate_and_units_beyond_it_take_nothing() -> None:
     quota = Quota(PlanParameters(share=1.0, rate=2.0, burst=3.0))
-    assert [quota.take(0.0, 1.0) for _ in range(4)] == [True, True, True, False]
+    assert [quota.take_units(0.0, 1.0) for _ in range(4)] == [True, True, True, False]
     assert not quota.is_half_free(0.0)
-    assert quota.take(500.0, 1.0)
-    assert not quota.take(999.0, 1.0)
+    assert quota.take_units(500.0, 1.0)
+    assert not quota.take_units(999.0, 1.0)
     assert quota.is_half_free(500.0 + 750.0)
 
 
 def test_a_quota_on_concurrency_counts_attempts_in_flight() -> None:
     quota = Quota(PlanParameters(share=1.0, rate=2.0, max_concurrency=2))
-    quota.attempt_began()
-    assert quota.take(0.0, 1.0)
+    quota.record_attempt_start()
+    assert quota.take_units(0.0, 1.0)
     assert quota.is_half_free(0.0)
-    quota.attempt_began()
-    assert not quota.take(0.0, 1.0)
+    quota.record_attempt_start()
+    assert not quota.take_units(0.0, 1.0)
     assert not quota.is_half_free(0.0)
 
 
@@ -208,18 +208,18 @@
     discovery = Discovery(clock, hollow_experiment(limiters=3))
     discovery.subscribe(deliver)
     gone = Endpoint(b"a", EndpointState.GONE)
-    discovery.observe([gone], (500.0, 500.0))
-    discovery.observe([Endpoint(b"a", EndpointState.READY, started_at=1.0)], (100.0, 100.0))
+    discovery.report_changes([gone], (500.0, 500.0))
+    discovery.report_changes([Endpoint(b"a", EndpointState.READY, started_at=1.0)], (100.0, 100.0))
     clock.run(100.0)
     assert not pushed
     clock.run(1000.0)
     assert sorted(pushed) == [(limiter, EndpointState.READY) for limiter in range(3)]
     assert b"a" in discovery.endpoints
-    discovery.fail()
-    discovery.observe([gone], (0.0, 0.0))
+    discovery.begin_outage()
+    discovery.report_changes([gone], (0.0, 0.0))
     clock.run(2000.0)
     assert len(pushed) == 3
-    discovery.restore()
+    discovery.end_outage()
     clock.run(3000.0)
     assert len(pushed) == 6
     assert not discovery.endpoints
--- a/tests/scale/test_hollow_simulation.py
+++ b/tests/scale/test_hollow_simulation.py
@@ -11,7 +11,7 @@
 
 from scale.hollow.gossip_age import GossipMessage
 from scale.hollow.plan import HollowExperiment
-from scale.hollow.run import check, run
+from scale.hollow.run import check_all_requests_ended, run
 from scale.hollow.simulation import Simulation
 from scale.hollow.tally import RequestOutcome, Tally
 from tests.support.hollow_experiment import hollow_experiment
@@ -41,7 +41,7 @@
 def played_simulation(experiment: HollowExperiment, unreachable_limiter: int | None = None) -> Simulation:
     """Play the experiment's duration; gossip to one limiter may be dropped."""
     simulation = Simulation(experiment)
-    gossip_network = simulation.host.gossip_network
+    gossip_network = simulation.limiter_host.gossip_network
     deliver = gossip_network.deliver
 
     def deliver_unless_unreachable(receiver: int, message: GossipMessage) -> None:
@@ -70,59 +70,59 @@
 
 def test_a_second_final_answer_or_none_fails_the_run() -> None:
     simulation = Simulation(hollow_experiment())
-    limiter = simulation.host.limiters[0]
+    limiter = simulation.limiter_host.limiters[0]
     while not limiter.requests:
         simulation.run(simulation.clock.now + 10.0)
     with pytest.raises(AssertionError, match="never answered"):
-        check(simulation)
+        check_all_requests_ended(simulation)
     request = next(request for request in limiter.requests.values() if request.outcome is None)
-    simulation.ledger.end(request, RequestOutcome.SERVED)
+    simulation.request_tracker.end_request(request, RequestOutcome.SERVED)
     with pytest.raises(AssertionError, match="refused after served"):
-        simulation.ledger.end(request, RequestOutcome.REJECTED)
+        simulation.request_tracker.end_request(request, RequestOutcome.REJECTED)
 
 
 def test_all_usage_is_learnt_within_the_gossip_interval_where_no_message_is_dropped() -> None:
     ages = played_simulation(hollow_experiment(network={"peer_loss": 0.0})).gossip_ages
-    assert ages.expected == ages.learnt > 100
+    assert ages.expected_pair_count == ages.learnt_pair_count > 100
     # The interval is drawn up to a fifth longer.
-    assert max(ages.ages) <= 1.2 * GOSSIP_INTERVAL_MS + MAX_GOSSIP_DELAY_MS
+    assert max(ages.counts_by_age) <= 1.2 * GOSSIP_INTERVAL_MS + MAX_GOSSIP_DELAY_MS
 
 
 def test_a_limiter_that_receives_no_gossip_shows_up_as_usage_never_learnt() -> None:
     experiment = hollow_experiment(network={"peer_loss": 0.0})
     assert any(0 in customer.used_limiters for customer in Simulation(experiment).customers)
     ages = played_simulation(experiment, unreachable_limiter=0).gossip_ages
-    assert 0 < ages.learnt < ages.expected
+    assert 0 < ages.learnt_pair_count < ages.expected_pair_count
 
 
 def test_nothing_is_learnt_where_all_messages_are_dropped() -> None:
     ages = played_simulation(hollow_experiment(network={"peer_loss": 1.0})).gossip_ages
-    assert ages.learnt == 0 < ages.expected
+    assert ages.learnt_pair_count == 0 < ages.expected_pair_count
 
 
 def test_partitioned_regions_receive_no_gossip_of_each_other_until_they_are_connected() -> None:
     simulation = Simulation(hollow_experiment(zones=2, regions=2, network={"peer_loss": 0.0}))
     receivers: list[int] = []
     message = GossipMessage(0, b"message", {})
-    simulation.host.gossip_network.deliver = lambda receiver, _message: receivers.append(receiver)
+    simulation.limiter_host.gossip_network.deliver = lambda receiver, _message: receivers.append(receiver)
     simulation.network.partitioned_regions.add(1)
-    simulation.host.gossip_network.broadcast(0, message)
+    simulation.limiter_host.gossip_network.broadcast(0, message)
     simulation.clock.run(50.0)
     assert sorted(receivers) == [2, 4, 6]
-    assert math.isinf(simulation.network.delay(0, 1))
+    assert math.isinf(simulation.network.draw_delay(0, 1))
     receivers.clear()
     simulation.network.partitioned_regions.clear()
-    simulation.host.gossip_network.broadcast(0, message)
+    simulation.limiter_host.gossip_network.broadcast(0, message)
     simulation.clock.run(100.0)
     assert sorted(receivers) == [1, 2, 3, 4, 5, 6, 7]
 
 
 def test_recovery_is_when_the_windows_are_back_for_good() -> None:
     tally = Tally(hollow_experiment(duration=30000.0, window=2000.0, warm_up=0.0))
-    tally.bins = [1.0] * 31
-    assert tally.recovery(10000.0) == {"before": 2.0, "worst": 2.0, "recovery_ms": 0.0}
-    tally.bins[11] = 5.0
-    tally.bins[14] = 5.0
-    assert tally.recovery(10000.0) == {"before": 2.0, "worst": 6.0, "recovery_ms": 7000.0}
-    tally.bins[29] = 5.0
-    assert tally.recovery(10000.0)["recovery_ms"] is None
+    tally.units_beyond_quota_by_bin = [1.0] * 31
+    assert tally.measure_recovery(10000.0) == {"before": 2.0, "worst": 2.0, "recovery_ms": 0.0}
+    tally.units_beyond_quota_by_bin[11] = 5.0
+    tally.units_beyond_quota_by_bin[14] = 5.0
+    assert tally.measure_recovery(10000.0) == {"before": 2.0, "worst": 6.0, "recovery_ms": 7000.0}
+    tally.units_beyond_quota_by_bin[29] = 5.0
+    assert tally.measure_recovery(10000.0)["recovery_ms"] is None
--- a/tests/support/simulated_server.py
+++ b/tests/support/simulated_server.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from limiter.model.events import Endpoint
-from scale.hollow.slow_start import slow_start_capacity, tolerated_arrivals
+from scale.hollow.slow_start import compute_capacity_fraction, compute_tolerated_arrivals
 
 # Length of the steps in which servers work; results are reported at the end of a step.
 STEP_MS = 10.0
@@ -67,7 +67,7 @@
         if self.info.started_at <= 0:
             return 1.0
         age = max(0.0, now - self.info.started_at)
-        return slow_start_capacity(age, SLOW_START_MS, SLOW_START_CAPACITY)
+        return compute_capacity_fraction(age, SLOW_START_MS, SLOW_START_CAPACITY)
 
     def accept(self, attempt: Attempt, work_ms: float) -> bool:
         """Begin work on an attempt; return False if too many are in flight."""
@@ -118,7 +118,7 @@
             window = [arrival for arrival in recent if arrival.at > end - WINDOW_MS]
             informed = sum(arrival.is_informed for arrival in window)
             expected = OVERLOAD_FACTOR * self.capacity_share(end) * self.capacity / MEAN_WORK_MS * WINDOW_MS
-            tolerated = tolerated_arrivals(expected)
+            tolerated = compute_tolerated_arrivals(expected)
             if informed > 2 / 3 * len(window):
                 peak = max(peak, len(window) / tolerated)
         return peak
