--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -13,7 +13,7 @@
 import typer
 
 from scale.errors import ExperimentError
-from scale.experiment import load
+from scale.experiment import load_experiment
 from scale.experiment import run as run_experiment
 from scale.results import Results
 
@@ -45,7 +45,7 @@
 ) -> None:
     """Play one experiment; a file that cannot be played ends it with one line and exit code 2."""
     try:
-        plan = load(experiment, seed)
+        plan = load_experiment(experiment, seed)
         with _output(out) as file:
             results = Results(file)
             started_at = time.monotonic()
--- a/scale/experiment.py
+++ b/scale/experiment.py
@@ -20,8 +20,8 @@
 Experiment = msgspec.Struct
 # A line of results, by key; the values are of JSON's types.
 ResultLine = Mapping[str, object]
-Record = Callable[[ResultLine], None]
-Progress = Callable[[str], None]
+ResultRecorder = Callable[[ResultLine], None]
+ProgressReporter = Callable[[str], None]
 
 KIND_KEY = "kind"
 WRONG_FIELD = re.compile(r"Object (contains unknown|missing required) field `(\w*)`")
@@ -44,7 +44,7 @@
 }
 
 
-def load(path: Path, seed: int | None) -> Experiment:
+def load_experiment(path: Path, seed: int | None) -> Experiment:
     """Read and check an experiment.
 
     Args:
@@ -68,7 +68,7 @@
         raise ExperimentError(*_key_and_problem(str(error))) from error
 
 
-def run(experiment: Experiment, record: Record, progress: Progress) -> None:
+def run(experiment: Experiment, record: ResultRecorder, progress: ProgressReporter) -> None:
     """Run an experiment.
 
     Args:
--- a/scale/hollow/run.py
+++ b/scale/hollow/run.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from scale.experiment import Progress, Record
+from scale.experiment import ProgressReporter, ResultRecorder
 from scale.hollow.plan import HollowExperiment
 from scale.hollow.result_lines import fault_line, gossip_figures, summary
 from scale.hollow.simulation import Simulation
@@ -15,7 +15,7 @@
 PROGRESS_LINES = 10
 
 
-def run(experiment: HollowExperiment, record: Record, progress: Progress) -> None:
+def run(experiment: HollowExperiment, record: ResultRecorder, progress: ProgressReporter) -> None:
     """Run the experiment until every request has ended.
 
     Args:
--- a/scale/process/clients.py
+++ b/scale/process/clients.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import cast
 
-from scale.process.fleet import MAX_LIMITER_SET_SIZE, PLANS, plan_of
+from scale.process.fleet import MAX_LIMITER_SET_SIZE, PLANS, get_plan_index
 from scale.process.servers import Servers
 from scale.process.traffic import HEAD_END, content_length
 
@@ -115,7 +115,7 @@
         f"Host: api.internal\r\n"
         f"X-Request-Id: {request_id}\r\n"
         f"X-Class: {request_class}\r\n"
-        f"X-Tariff: {PLANS[plan_of(customer)]}\r\n"
+        f"X-Tariff: {PLANS[get_plan_index(customer)]}\r\n"
         f"X-Deadline-Ms: 3000\r\n"
         f"X-Weight: units=1,spread={limiter_set_size},first=0\r\n"
         f"{length}\r\n"
--- a/scale/process/counter.py
+++ b/scale/process/counter.py
@@ -24,7 +24,7 @@
         """Carry out up to that many calls a second; any number if it is 0."""
         self.traffic = Traffic()
         self.totals: dict[bytes, float] = {}
-        self.added_calls = 0
+        self.accepted_calls = 0
         self.busy_calls = 0
         self.malformed_calls = 0
         self._calls_per_s = calls_per_s
@@ -41,7 +41,7 @@
         """Stop listening; connections stay open."""
         self._listener.close()
 
-    def call(self, words: list[bytes]) -> bytes:
+    def execute_call(self, words: list[bytes]) -> bytes:
         """Carry out one call; return the reply in RESP2."""
         if words[0].upper() == b"PING":
             return b"+PONG\r\n"
@@ -53,7 +53,7 @@
         if not self._admit():
             self.busy_calls += 1
             return b"-BUSY\r\n"
-        self.added_calls += 1
+        self.accepted_calls += 1
         total = self.totals.get(key, 0.0) + amount
         self.totals[key] = total
         text = b"%.7g" % total
@@ -99,4 +99,4 @@
         self.traffic.received(data)
         self._reader.feed(data)
         while (words := self._reader.gets()) is not False:
-            self.write(self._counter.call(words))
+            self.write(self._counter.execute_call(words))
--- a/scale/process/discovery.py
+++ b/scale/process/discovery.py
@@ -29,7 +29,7 @@
         """Serve that list and its changes."""
         self.traffic = Traffic()
         self.calls = 0
-        self.full_lists = 0  # number of calls for the whole list
+        self.full_list_calls = 0  # number of calls for the whole list
         self.malformed_calls = 0
         # The newest version that the limiter has reported to know, in a watch.
         self.acknowledged_version = endpoints.version
@@ -47,9 +47,9 @@
         self._listener, address = await listen(lambda: _DiscoveryConnection(self))
         return address
 
-    def change(self) -> None:
+    def apply_next_change(self) -> None:
         """Change the list, and end all watches."""
-        self.endpoints.change(round(time.time() * 1000))
+        self.endpoints.apply_next_change(round(time.time() * 1000))
         for connection in list(self.watches):
             self.end_watch(connection)
 
@@ -62,8 +62,8 @@
         self.calls += 1
         target = head.split(b" ", 2)[1]
         if target == FULL_LIST_TARGET:
-            self.full_lists += 1
-            connection.respond(200, self.endpoints.full_document())
+            self.full_list_calls += 1
+            connection.respond(200, self.endpoints.encode_full_list())
             return
         watch = WATCH_TARGET.fullmatch(target)
         if watch is None:
@@ -76,7 +76,7 @@
         """End a watch: respond with the changes since its version, which may be none."""
         watch = self.watches.pop(connection)
         watch.timer.cancel()
-        connection.respond(200, self.endpoints.changes_since(watch.version))
+        connection.respond(200, self.endpoints.encode_changes_since(watch.version))
 
     def cancel_watch(self, connection: _DiscoveryConnection) -> None:
         """End the watch of a closed connection, if it has one."""
--- a/scale/process/endpoint_list.py
+++ b/scale/process/endpoint_list.py
@@ -36,7 +36,7 @@
         """Number of changes so far, which is the version less FIRST_VERSION."""
         return self.version - FIRST_VERSION
 
-    def change(self, now_ms: int) -> None:
+    def apply_next_change(self, now_ms: int) -> None:
         """Change one entry: in turn a server joins, the oldest one drains, and it leaves.
 
         Args:
@@ -53,22 +53,22 @@
         self.version += 1
         self._full_document = None
 
-    def parsed_document(self) -> object:
+    def decode_full_list(self) -> object:
         """The list as JSON's types: what a configuration has as the list last seen."""
-        document: object = json.loads(self.full_document())
+        document: object = json.loads(self.encode_full_list())
         return document
 
-    def full_document(self) -> bytes:
+    def encode_full_list(self) -> bytes:
         """The body of a response with the whole list."""
         if self._full_document is None:
             self._full_document = self._document(True, b",\n".join(self._entries.values()))
         return self._full_document
 
-    def changes_since(self, version: int) -> bytes:
+    def encode_changes_since(self, version: int) -> bytes:
         """The body of a response with the changes since a version; the whole list if they are not kept."""
         count = self.version - version
         if not 0 <= count <= len(self._changes):
-            return self.full_document()
+            return self.encode_full_list()
         newest = list(self._changes)[len(self._changes) - count :] if count else ()
         return self._document(False, b",\n".join(newest))
 
--- a/scale/process/engine_benchmark.py
+++ b/scale/process/engine_benchmark.py
@@ -20,7 +20,7 @@
 from limiter.policy.context import TimerToken
 from limiter.policy.engine import PolicyEngine
 from limiter.policy.throttle import UPDATE_INTERVAL_MS
-from scale.process.fleet import MAX_LIMITER_SET_SIZE, plan_of, settings_document
+from scale.process.fleet import MAX_LIMITER_SET_SIZE, build_settings, get_plan_index
 
 # The engine has no timer with this token, so that handling the event runs the due round and nothing else.
 UNKNOWN_TIMER = TimerFired(99)
@@ -57,7 +57,7 @@
             "peer_listen": "127.0.0.1:4",
             "peers": ["127.0.0.1:4"] * limiters,
             "seed": "1",
-            "settings": settings_document(limiters, "pushed"),
+            "settings": build_settings(limiters, "pushed"),
         }
         self.now = START_MS
         self.gossip_senders: set[int] = set()  # limiters whose messages the engine took in
@@ -97,7 +97,7 @@
         event = ClientRequest(
             id=number,
             customer=customer,
-            plan=plan_of(customer),
+            plan=get_plan_index(customer),
             request_class=number % 2,
             units=1.0,
             limiter_set_size=self._limiter_set_size,
--- a/scale/process/engine_sweep.py
+++ b/scale/process/engine_sweep.py
@@ -23,14 +23,14 @@
 
 from limiter.model.events import Endpoint, EndpointsChanged, EndpointState
 from limiter.policy.usage_gossip import MAX_INTAKE_FRACTION
-from scale.experiment import Progress, Record, ResultLine
+from scale.experiment import ProgressReporter, ResultLine, ResultRecorder
 from scale.process.engine_benchmark import LATENCY_MS, EngineBenchmark
 from scale.process.fleet import (
     CUSTOMER_IDS,
     GOSSIP_INTAKE_PER_S,
     SERVERS_PER_CELL,
     ZONES,
-    gossip_message,
+    encode_gossip_message,
 )
 from scale.process.limiter_process import status_mb
 from scale.process.plan import PolicyEngineExperiment
@@ -79,7 +79,7 @@
     customers: int
 
 
-def run(experiment: PolicyEngineExperiment, record: Record, progress: Progress) -> None:
+def run(experiment: PolicyEngineExperiment, record: ResultRecorder, progress: ProgressReporter) -> None:
     """Run all sizes; record a line for each, then the slopes over what was swept."""
     lines: list[ResultLine] = []
     spawn = multiprocessing.get_context("spawn")
@@ -172,7 +172,7 @@
         for index in range(messages):
             self._bench.advance(FIRST_GOSSIP_INTERVAL_MS)
             first = index * entries % self._size.customers
-            body = gossip_message(self._rng, self._population[first : first + entries])
+            body = encode_gossip_message(self._rng, self._population[first : first + entries])
             self._bench.receive_gossip(next(self._senders), body)
 
     def _request_of_each(self) -> int:
@@ -194,7 +194,7 @@
 
     def _receive_gossip_of_some(self) -> None:
         entries = min(self._experiment.entries, self._size.customers)
-        body = gossip_message(self._rng, self._rng.sample(self._population, entries))
+        body = encode_gossip_message(self._rng, self._rng.sample(self._population, entries))
         self._bench.receive_gossip(next(self._senders), body)
 
     def _fill_in_flight(self) -> int:
--- a/scale/process/environment.py
+++ b/scale/process/environment.py
@@ -13,7 +13,7 @@
 from scale.process.counter import Counter
 from scale.process.discovery import Discovery
 from scale.process.endpoint_list import EndpointList
-from scale.process.fleet import CUSTOMER_IDS, settings_document
+from scale.process.fleet import CUSTOMER_IDS, build_settings
 from scale.process.gossip_peers import GossipPeers
 from scale.process.limiter_process import LimiterProcess
 from scale.process.plan import ProcessExperiment
@@ -54,11 +54,11 @@
             "counter": await self.counter.start(),
             "seed": f"{self._rng.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "settings": settings_document(self.limiters, self.experiment.discovery),
-            **self.peers.config(),
+            "settings": build_settings(self.limiters, self.experiment.discovery),
+            **self.peers.build_config(),
         }
         if self.experiment.has_known_list:
-            config["known"] = self.endpoints.parsed_document()
+            config["known"] = self.endpoints.decode_full_list()
         return await LimiterProcess.start(config, folder)
 
     def start_clients(self, address: tuple[str, int]) -> Clients:
@@ -81,9 +81,9 @@
             watches=self.discovery.calls,
             changes=self.endpoints.change_count,
             changes_heard=self.discovery.acknowledged_changes,
-            counter_calls=self.counter.added_calls + self.counter.busy_calls,
+            counter_calls=self.counter.accepted_calls + self.counter.busy_calls,
             counter_busy=self.counter.busy_calls,
-            datagrams_in=self.peers.sent,
+            datagrams_in=self.peers.datagrams_sent,
             datagrams_out=self.peers.received,
         )
         traffics = {
--- a/scale/process/fleet.py
+++ b/scale/process/fleet.py
@@ -22,7 +22,7 @@
 CUSTOMER_IDS = 2**33
 
 
-def settings_document(limiters: int, discovery: str) -> dict[str, object]:
+def build_settings(limiters: int, discovery: str) -> dict[str, object]:
     """Make the configuration's `settings` of limiter 0 of a fleet of that size."""
     quota = {"beyondCosts": 0.8}
     return {
@@ -48,16 +48,16 @@
     }
 
 
-def plan_of(customer: int) -> int:
+def get_plan_index(customer: int) -> int:
     """Number of a customer's plan, which follows from its id and never changes."""
     return customer % len(PLANS)
 
 
-def gossip_message(rng: Random, customers: Sequence[int]) -> bytes:
+def encode_gossip_message(rng: Random, customers: Sequence[int]) -> bytes:
     """Make a message of another limiter that reports one forwarded unit for each customer."""
     in_flight = rng.randrange(3)
     mean_latency_ms = rng.randrange(100, 300)
     writer = UsageMessageEncoder(in_flight, mean_latency_ms)
     for customer in customers:
-        writer.add_entry(plan_of(customer), customer, units=1)
+        writer.add_entry(get_plan_index(customer), customer, units=1)
     return writer.encode()
--- a/scale/process/fleet_load.py
+++ b/scale/process/fleet_load.py
@@ -27,14 +27,14 @@
 class FleetLoad:
     """Calls and messages a second, of all limiters together unless said otherwise."""
 
-    discovery_calls: float  # watches that end, with changes or without
-    discovery_entries: float  # entries of the list in responses of discovery
-    counter_calls: float
+    discovery_call_rate: float  # watches that end, with changes or without
+    discovery_entry_rate: float  # entries of the list in responses of discovery
+    counter_call_rate: float
     gossip_interval_s: float  # time between two messages of one limiter, each to all others
-    datagrams: float  # gossip datagrams; a message is one to each other limiter
+    datagram_rate: float  # gossip datagrams; a message is one to each other limiter
 
 
-def fleet_load(fleet: LimiterFleet) -> FleetLoad:
+def compute_fleet_load(fleet: LimiterFleet) -> FleetLoad:
     """Derive the load of a fleet on counter, discovery and gossip.
 
     A change of the list ends all watches. A watch without a change ends after the time that its pacing gives.
@@ -44,9 +44,9 @@
     peers = fleet.limiters - 1
     interval_s = max(MIN_GOSSIP_INTERVAL_MS / 1000, peers / (MAX_INTAKE_FRACTION * fleet.gossip_intake_per_s))
     return FleetLoad(
-        discovery_calls=fleet.limiters * max(fleet.changes_per_s, 1 / watch_s),
-        discovery_entries=fleet.limiters * fleet.changes_per_s,
-        counter_calls=fleet.limiters * fleet.requests_per_s * fleet.counter_calls_per_request,
+        discovery_call_rate=fleet.limiters * max(fleet.changes_per_s, 1 / watch_s),
+        discovery_entry_rate=fleet.limiters * fleet.changes_per_s,
+        counter_call_rate=fleet.limiters * fleet.requests_per_s * fleet.counter_calls_per_request,
         gossip_interval_s=interval_s,
-        datagrams=fleet.limiters * peers / interval_s,
+        datagram_rate=fleet.limiters * peers / interval_s,
     )
--- a/scale/process/gossip_peers.py
+++ b/scale/process/gossip_peers.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import TypedDict
 
-from scale.process.fleet import gossip_message
+from scale.process.fleet import encode_gossip_message
 from scale.process.traffic import Traffic
 
 # Linux's control message that gives the source address of one datagram, see ip(7).
@@ -31,10 +31,10 @@
     def __init__(self, limiters: int, customers: list[int], entries: int, rng: Random) -> None:
         """Emulate all limiters but number 0; a message reports on `entries` of the customers."""
         self.traffic = Traffic()
-        self.sent = 0  # datagrams to the limiter under test
+        self.datagrams_sent = 0  # datagrams to the limiter under test
         self.received = 0  # datagrams from the limiter under test
         # Messages sent or dropped so far, by which the next sender is chosen.
-        self.turn = 0
+        self.next_message_index = 0
         self._limiters = limiters
         self._customers = customers
         self._entries = entries
@@ -60,26 +60,26 @@
         self._sender.close()
         self._receiver.close()
 
-    def config(self) -> GossipConfig:
+    def build_config(self) -> GossipConfig:
         """The keys on gossip of the configuration of the limiter under test."""
         own = "{}:{}".format(*self.limiter_address)
         peers = [f"{peer_host(number)}:{self._port}" for number in range(1, self._limiters)]
         broadcast = "{}:{}".format(*self._receiver.getsockname())
         return {"peer_listen": own, "peers": [own, *peers], "peers_all": broadcast}
 
-    def send(self) -> None:
+    def send_message(self) -> None:
         """Send one message of the next peer, in the order of their numbers."""
-        number = 1 + self.turn % (self._limiters - 1)
-        self.turn += 1
+        number = 1 + self.next_message_index % (self._limiters - 1)
+        self.next_message_index += 1
         customers = self._rng.sample(self._customers, min(self._entries, len(self._customers)))
-        body = gossip_message(self._rng, customers)
+        body = encode_gossip_message(self._rng, customers)
         source = struct.pack("=I4s4s", 0, socket.inet_aton(peer_host(number)), bytes(4))
         packet_info = (socket.IPPROTO_IP, IP_PKTINFO, source)
         try:
             self._sender.sendmsg([body], [packet_info], 0, self.limiter_address)
         except BlockingIOError:
             return
-        self.sent += 1
+        self.datagrams_sent += 1
         self.traffic.sent(body)
 
     def _read(self) -> None:
--- a/scale/process/phases.py
+++ b/scale/process/phases.py
@@ -15,7 +15,7 @@
 from scale.process.clients import Clients
 from scale.process.environment import Environment
 from scale.process.fleet import GOSSIP_INTAKE_PER_S
-from scale.process.fleet_load import LimiterFleet, fleet_load
+from scale.process.fleet_load import LimiterFleet, compute_fleet_load
 from scale.process.limiter_process import LimiterProcess
 from scale.process.plan import ProcessExperiment
 
@@ -115,8 +115,8 @@
     processor_before = limiter.processor_seconds()
     async with asyncio.TaskGroup() as group:
         group.create_task(asyncio.sleep(phase_s))
-        group.create_task(environment.repeat(environment.peers.send, phase.datagrams, phase_s))
-        group.create_task(environment.repeat(environment.discovery.change, phase.changes, phase_s))
+        group.create_task(environment.repeat(environment.peers.send_message, phase.datagrams, phase_s))
+        group.create_task(environment.repeat(environment.discovery.apply_next_change, phase.changes, phase_s))
         group.create_task(environment.repeat(clients.send_request, phase.requests, phase_s))
     elapsed_s = time.monotonic() - started_at
     processor_seconds = limiter.processor_seconds() - processor_before
@@ -191,12 +191,12 @@
         counter_calls_per_request=counts["counter_calls"] / max(1, requests),
         gossip_intake_per_s=GOSSIP_INTAKE_PER_S,
     )
-    load = fleet_load(fleet)
+    load = compute_fleet_load(fleet)
     return {
         "counter_calls_a_request": round(fleet.counter_calls_per_request, 4),
-        "counter_calls_per_s": round(load.counter_calls, 1),
-        "discovery_calls_per_s": round(load.discovery_calls, 1),
-        "discovery_entries_per_s": round(load.discovery_entries, 1),
+        "counter_calls_per_s": round(load.counter_call_rate, 1),
+        "discovery_calls_per_s": round(load.discovery_call_rate, 1),
+        "discovery_entries_per_s": round(load.discovery_entry_rate, 1),
         "told_every_s": round(load.gossip_interval_s, 2),
-        "datagrams_per_s": round(load.datagrams, 1),
+        "datagrams_per_s": round(load.datagram_rate, 1),
     }
--- a/scale/process/run.py
+++ b/scale/process/run.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from scale.experiment import Progress, Record, ResultLine
+from scale.experiment import ProgressReporter, ResultLine, ResultRecorder
 from scale.process.environment import Environment
 from scale.process.limiter_process import LOG_TIME_LENGTH, LimiterProcess
 from scale.process.phases import phases_of, play_phases
@@ -45,7 +45,7 @@
 PHASE_FIGURES = ("core", "processor_ms_a_request", "added_p50_ms", "added_p99_ms")
 
 
-def run(experiment: ProcessExperiment, record: Record, progress: Progress) -> None:
+def run(experiment: ProcessExperiment, record: ResultRecorder, progress: ProgressReporter) -> None:
     """Run all sizes one after another; record a line for each start, each phase and each slope."""
     lines: list[ResultLine] = []
 
@@ -62,7 +62,7 @@
 
 
 def _record_slopes(
-    experiment: ProcessExperiment, swept: str, lines: list[ResultLine], record: Record
+    experiment: ProcessExperiment, swept: str, lines: list[ResultLine], record: ResultRecorder
 ) -> None:
     """Record slopes over what was swept: those of the starts, then those of each phase."""
     size_lines = [line for line in lines if line["line"] == "size" and line["ready_s"] is not None]
@@ -74,7 +74,9 @@
             record({**slope, "phase": phase.name})
 
 
-async def _play_size(experiment: ProcessExperiment, servers: int, limiters: int, record: Record) -> None:
+async def _play_size(
+    experiment: ProcessExperiment, servers: int, limiters: int, record: ResultRecorder
+) -> None:
     rng = Random(f"{experiment.seed} {servers} {limiters}")
     environment = Environment(experiment, servers, limiters, rng)
     size = {"servers": servers, "limiters": limiters}
@@ -101,8 +103,8 @@
         "seed": experiment.seed,
         "ready_s": None if ready_s is None else round(ready_s, 3),
         "start_processor_s": limiter.processor_seconds(),
-        "list_bytes": len(environment.endpoints.full_document()),
-        "lists_asked": environment.discovery.full_lists,
+        "list_bytes": len(environment.endpoints.encode_full_list()),
+        "lists_asked": environment.discovery.full_list_calls,
         "lists_bytes_in": environment.discovery.traffic.bytes_in,
     }
 
--- a/scale/process/servers.py
+++ b/scale/process/servers.py
@@ -15,15 +15,15 @@
 class Servers:
     """Servers, of which all that share a socket respond alike, to each request after the same work."""
 
-    def __init__(self, work_ms: float) -> None:
+    def __init__(self, service_time_ms: float) -> None:
         """Respond to each request after `work_ms`."""
         self.traffic = Traffic()
         # Time from a request's last byte to its response, by request id.
         self.service_times_s: dict[bytes, float] = {}
         self.response_count = 0
-        self.without_id = 0
+        self.requests_without_id = 0
         self.addresses: list[str] = []
-        self._work_seconds = work_ms / 1000
+        self._work_seconds = service_time_ms / 1000
         self._listeners: list[asyncio.Server] = []
 
     async def start(self, listener_count: int) -> None:
@@ -42,7 +42,7 @@
         """Respond to a request after its work; to one without an id at once, with 404."""
         request_id = REQUEST_ID.search(head)
         if request_id is None:
-            self.without_id += 1
+            self.requests_without_id += 1
             connection.respond(404, b"")
             return
         loop = asyncio.get_running_loop()
--- a/tests/scale/test_cli.py
+++ b/tests/scale/test_cli.py
@@ -11,7 +11,7 @@
 from typer.testing import CliRunner
 
 from scale.__main__ import app
-from scale.experiment import load
+from scale.experiment import load_experiment
 
 ROOT = Path(__file__).parents[2]
 SHIPPED = sorted((ROOT / "scale" / "experiments").glob("hollow-*.toml"))
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("path", SHIPPED, ids=lambda path: path.stem)
 def test_every_shipped_experiment_can_be_read(path: Path) -> None:
-    assert load(path, 7).seed == 7  # type: ignore[attr-defined]
+    assert load_experiment(path, 7).seed == 7  # type: ignore[attr-defined]
 
 
 @pytest.mark.parametrize(
--- a/tests/scale/test_process_emulated_peers.py
+++ b/tests/scale/test_process_emulated_peers.py
@@ -23,7 +23,7 @@
 from scale.process.counter import Counter
 from scale.process.discovery import Discovery
 from scale.process.endpoint_list import EndpointList
-from scale.process.fleet import gossip_message, plan_of, settings_document
+from scale.process.fleet import build_settings, encode_gossip_message, get_plan_index
 from scale.process.gossip_peers import GossipPeers
 from scale.process.servers import Servers
 from tests.support.waiting import wait_until
@@ -54,7 +54,7 @@
         "seed": "1",
         "peer_listen": "127.0.0.1:4",
         "peers": ["127.0.0.1:5"] * limiters,
-        "settings": settings_document(limiters, "pushed"),
+        "settings": build_settings(limiters, "pushed"),
     }
     return parse_config(document).settings
 
@@ -94,37 +94,37 @@
 
 def test_changes_apply_to_the_list_they_came_from() -> None:
     endpoint_list = EndpointList(5, ["127.0.0.1:1", "127.0.0.1:2"])
-    version, is_full_list, endpoints = read_document(endpoint_list.parsed_document())
+    version, is_full_list, endpoints = read_document(endpoint_list.decode_full_list())
     assert (version, is_full_list, len(endpoints)) == (1, True, 5)
     states = states_of(endpoints)
     for count in range(1, 13):
-        endpoint_list.change(1000 + count)
-        version, is_full_list, changed = read_document(json.loads(endpoint_list.changes_since(count)))
+        endpoint_list.apply_next_change(1000 + count)
+        version, is_full_list, changed = read_document(json.loads(endpoint_list.encode_changes_since(count)))
         assert (version, is_full_list, len(changed)) == (count + 1, False, 1)
         states |= states_of(changed)
     listed = {key: state for key, state in states.items() if state is not EndpointState.GONE}
     # Changes since version 0 are not known, so that the whole list is the response.
-    _, is_full_list, endpoints = read_document(json.loads(endpoint_list.changes_since(0)))
+    _, is_full_list, endpoints = read_document(json.loads(endpoint_list.encode_changes_since(0)))
     assert is_full_list
     assert listed == states_of(endpoints)
-    assert len(read_document(json.loads(endpoint_list.changes_since(1)))[2]) == 12
-    assert read_document(json.loads(endpoint_list.changes_since(13)))[2] == []
+    assert len(read_document(json.loads(endpoint_list.encode_changes_since(1)))[2]) == 12
+    assert read_document(json.loads(endpoint_list.encode_changes_since(13)))[2] == []
 
 
 def test_a_gossip_message_is_read_as_the_policy_engine_reads_it() -> None:
     settings = limiter_settings(3)
     gossip = UsageGossip(EngineContext(settings, seed=1))
     customers = [3, 4, 5, 2**33 - 1]
-    gossip.receive(0.0, gossip_message(Random(1), customers))
+    gossip.receive(0.0, encode_gossip_message(Random(1), customers))
     assert set(gossip.usage_table.records) == set(customers)
     assert gossip.peer_load.message_weight == 1
     assert all(
-        usage.plan is settings.plans[plan_of(key)] for key, usage in gossip.usage_table.records.items()
+        usage.plan is settings.plans[get_plan_index(key)] for key, usage in gossip.usage_table.records.items()
     )
 
 
 def test_the_longest_gossip_message_fits_into_a_datagram() -> None:
-    body = gossip_message(Random(1), range(48))
+    body = encode_gossip_message(Random(1), range(48))
     assert len(body) <= MAX_DATAGRAM_BYTES
     message = decode_usage_message(body, plan_count=3)
     assert message is not None
@@ -133,27 +133,27 @@
 
 def test_gossip_comes_from_the_addresses_of_the_fleet() -> None:
     peers = GossipPeers(70_000, list(range(100)), 48, Random(1))
-    config = peers.config()
+    config = peers.build_config()
     assert len(set(config["peers"])) == 70_000
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as limiter:
         limiter.bind(peers.limiter_address)
         limiter.settimeout(5.0)
         for number in (1, 2, 255, 256, 69_999, 1):
-            peers.turn = number - 1
-            peers.send()
+            peers.next_message_index = number - 1
+            peers.send_message()
             body, (host, port) = limiter.recvfrom(300)
             assert f"{host}:{port}" == config["peers"][number]
             assert 48 * 5 < len(body) <= MAX_DATAGRAM_BYTES
-    assert peers.sent == 6
+    assert peers.datagrams_sent == 6
     peers.close_sockets()
 
 
 def test_the_counter_adds() -> None:
     counter = Counter(0)
-    assert counter.call([b"CNT.ADD", b"a", b"2", b"1000"]) == b"$1\r\n2\r\n"
-    assert counter.call([b"CNT.ADD", b"a", b"-0.5", b"1000"]) == b"$3\r\n1.5\r\n"
-    assert counter.call([b"PING"]) == b"+PONG\r\n"
-    assert (counter.added_calls, counter.malformed_calls, counter.totals) == (2, 0, {b"a": 1.5})
+    assert counter.execute_call([b"CNT.ADD", b"a", b"2", b"1000"]) == b"$1\r\n2\r\n"
+    assert counter.execute_call([b"CNT.ADD", b"a", b"-0.5", b"1000"]) == b"$3\r\n1.5\r\n"
+    assert counter.execute_call([b"PING"]) == b"+PONG\r\n"
+    assert (counter.accepted_calls, counter.malformed_calls, counter.totals) == (2, 0, {b"a": 1.5})
 
 
 @pytest.mark.parametrize(
@@ -167,15 +167,15 @@
 )
 def test_the_counter_replies_to_a_malformed_call_with_an_error(words: list[bytes]) -> None:
     counter = Counter(0)
-    assert counter.call(words).startswith(b"-ERR")
-    assert (counter.added_calls, counter.malformed_calls, counter.totals) == (0, 1, {})
+    assert counter.execute_call(words).startswith(b"-ERR")
+    assert (counter.accepted_calls, counter.malformed_calls, counter.totals) == (0, 1, {})
 
 
 def test_the_counter_is_busy_beyond_its_calls_a_second() -> None:
     counter = Counter(3)
-    replies = [counter.call([b"CNT.ADD", b"a", b"1", b"1"]) for _ in range(10)]
+    replies = [counter.execute_call([b"CNT.ADD", b"a", b"1", b"1"]) for _ in range(10)]
     assert 4 <= replies.count(b"-BUSY\r\n") <= 7  # 7 in one second; a second may begin between
-    assert counter.totals[b"a"] == counter.added_calls == 10 - counter.busy_calls
+    assert counter.totals[b"a"] == counter.accepted_calls == 10 - counter.busy_calls
 
 
 async def test_the_counter_replies_to_calls_in_their_order() -> None:
@@ -207,7 +207,7 @@
         assert no_change[0] == 200
         assert json.loads(no_change[1]) == {"generation": 1, "reset": False, "instances": []}
         assert malformed[0] == 400
-        assert (discovery.full_lists, discovery.malformed_calls, discovery.calls) == (1, 1, 3)
+        assert (discovery.full_list_calls, discovery.malformed_calls, discovery.calls) == (1, 1, 3)
 
 
 async def test_a_watch_waits_for_a_change() -> None:
@@ -215,28 +215,28 @@
         address = await discovery.start()
         watch = asyncio.create_task(exchange(address, catalog_request(b"?since=1&timeout_ms=60000")))
         await wait_until(lambda: discovery.watches, "a watch")
-        discovery.change()
+        discovery.apply_next_change()
         ((status, body),) = await watch
         assert status == 200
         assert [entry["lifecycle"] for entry in json.loads(body)["instances"]] == ["active"]
         await exchange(address, catalog_request(b"?since=2&timeout_ms=1"))
         assert discovery.acknowledged_version == 2
-        assert (discovery.full_lists, discovery.malformed_calls, discovery.calls) == (0, 0, 2)
+        assert (discovery.full_list_calls, discovery.malformed_calls, discovery.calls) == (0, 0, 2)
 
 
 async def test_a_server_responds_to_each_request_once() -> None:
-    with closing(Servers(work_ms=1.0)) as servers:
+    with closing(Servers(service_time_ms=1.0)) as servers:
         await servers.start(2)
         served, without_id = await exchange(
             servers.addresses[1], order_request(b"0a"), b"GET /ping HTTP/1.1\r\n\r\n"
         )
         assert (served[0], without_id[0]) == (200, 404)
-        assert (servers.response_count, servers.without_id) == (1, 1)
+        assert (servers.response_count, servers.requests_without_id) == (1, 1)
         assert list(servers.service_times_s) == [b"0a"]
 
 
 async def test_a_server_does_not_respond_to_an_incomplete_request() -> None:
-    with closing(Servers(work_ms=1.0)) as servers:
+    with closing(Servers(service_time_ms=1.0)) as servers:
         await servers.start(1)
         async with connected(servers.addresses[0]) as (_, writer):
             writer.write(order_request(b"0a")[:-1])
--- a/tests/scale/test_process_experiments.py
+++ b/tests/scale/test_process_experiments.py
@@ -9,8 +9,8 @@
 import pytest
 
 from scale.errors import ExperimentError
-from scale.experiment import ResultLine, load, run
-from scale.process.fleet_load import LimiterFleet, fleet_load
+from scale.experiment import ResultLine, load_experiment, run
+from scale.process.fleet_load import LimiterFleet, compute_fleet_load
 from scale.process.slopes import fit_slopes
 
 EXPERIMENTS = Path(__file__).parents[2] / "scale" / "experiments"
@@ -21,7 +21,7 @@
 def result_lines(file_name: str) -> list[Line]:
     """Play a shipped experiment; its result lines, as read back from JSON."""
     lines: list[ResultLine] = []
-    run(load(EXPERIMENTS / file_name, None), lines.append, lambda _progress: None)
+    run(load_experiment(EXPERIMENTS / file_name, None), lines.append, lambda _progress: None)
     return [json.loads(json.dumps(line)) for line in lines]
 
 
@@ -102,11 +102,11 @@
     path = tmp_path / "wrong.toml"
     path.write_text(f'kind = "process"\nlimiters = [2]\n{wrong}\n')
     with pytest.raises(ExperimentError, match=r"^(servers|pace)"):
-        load(path, None)
+        load_experiment(path, None)
 
 
 def test_the_load_of_a_fleet_whose_list_is_pushed() -> None:
-    load_figures = fleet_load(
+    load_figures = compute_fleet_load(
         LimiterFleet(
             limiters=200,
             discovery_is_pushed=True,
@@ -116,11 +116,11 @@
             gossip_intake_per_s=40,
         )
     )
-    assert load_figures.discovery_calls == pytest.approx(200.0)  # one a second each, while little changes
-    assert load_figures.discovery_entries == pytest.approx(88.0)
-    assert load_figures.counter_calls == pytest.approx(150.0)
+    assert load_figures.discovery_call_rate == pytest.approx(200.0)  # one a second each, while little changes
+    assert load_figures.discovery_entry_rate == pytest.approx(88.0)
+    assert load_figures.counter_call_rate == pytest.approx(150.0)
     assert load_figures.gossip_interval_s == pytest.approx(199 / 32)
-    assert load_figures.datagrams == pytest.approx(200 * 32)
+    assert load_figures.datagram_rate == pytest.approx(200 * 32)
 
 
 @pytest.mark.parametrize(
@@ -133,7 +133,7 @@
 def test_the_load_of_a_large_fleet_that_polls(
     changes_per_s: float, requests_per_s: float, discovery_calls: float
 ) -> None:
-    load_figures = fleet_load(
+    load_figures = compute_fleet_load(
         LimiterFleet(
             limiters=7200,
             discovery_is_pushed=False,
@@ -143,7 +143,7 @@
             gossip_intake_per_s=40,
         )
     )
-    assert load_figures.discovery_calls == pytest.approx(discovery_calls)
+    assert load_figures.discovery_call_rate == pytest.approx(discovery_calls)
     assert load_figures.gossip_interval_s == pytest.approx(7199 / 32)
 
 
