--- a/scale/hollow/clients.py
+++ b/scale/hollow/clients.py
@@ -129,10 +129,10 @@
         rejected = request.event
         customer = self._customers[rejected.customer]
         number = limiter.number
-        if self._rng.random() < self._parameters.retry_elsewhere_probability:
+        if self._rng.random() < self._parameters.retry_at_other_limiter_probability:
             member = customer.limiter_set_start + self._rng.randrange(customer.limiter_set_size)
             number = member % self._limiter_count
-        timeout_share = self._rng.uniform(*self._parameters.timeout_share)
+        timeout_share = self._rng.uniform(*self._parameters.client_timeout_fraction)
         retry = PlannedRequest(
             customer=rejected.customer,
             limiter=number,
--- a/scale/hollow/counter.py
+++ b/scale/hollow/counter.py
@@ -70,7 +70,7 @@
         outcome = Outcome.REJECTED
         total = 0.0
         done_at = now
-        if (self._idle_at - now) / self._service_time_ms < self._parameters.queue:
+        if (self._idle_at - now) / self._service_time_ms < self._parameters.max_queue_length:
             outcome = Outcome.OK
             total = self._add_to_total(now, call)
             self._idle_at = max(now, self._idle_at) + self._service_time_ms
--- a/scale/hollow/customers.py
+++ b/scale/hollow/customers.py
@@ -7,7 +7,7 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from scale.hollow.plan import HollowExperiment, PlanParameters, Range, UsageParameters
+from scale.hollow.plan import FloatRange, HollowExperiment, PlanParameters, UsageParameters
 from scale.hollow.quota import Quota
 
 Floats = NDArray[np.float64]
@@ -43,11 +43,11 @@
     customers: list[Customer] = []
     times: list[Floats] = []
     limiters: list[Integers] = []
-    total_rate = experiment.limiters * experiment.clients.requests_per_limiter
-    rate_per_share = total_rate / sum(plan.share for plan in experiment.plans)
+    total_rate = experiment.limiters * experiment.clients.request_rate_per_limiter
+    rate_per_share = total_rate / sum(plan.request_share for plan in experiment.plans)
     for number, plan in enumerate(experiment.plans):
         drawn_rate = 0.0
-        while drawn_rate < plan.share * rate_per_share:
+        while drawn_rate < plan.request_share * rate_per_share:
             customer, customer_times, customer_limiters = _draw_customer(rng, experiment, number, plan)
             drawn_rate += 1000 * len(customer_times) / experiment.duration
             customers.append(customer)
@@ -61,7 +61,7 @@
 ) -> tuple[Customer, Floats, Integers]:
     """One customer of the plan with that number; times of its requests, and their limiters."""
     times = _draw_times(rng, experiment.usage, plan.rate / 1000, experiment.duration)
-    low, high = experiment.clients.set_size
+    low, high = experiment.clients.limiters_per_customer
     size = min(experiment.limiters, int(rng.integers(low, high + 1)))
     start = int(rng.integers(experiment.limiters))
     limiters = (start + _draw_set_members(rng, experiment, times, size)) % experiment.limiters
@@ -77,12 +77,12 @@
     customers = np.repeat(np.arange(len(times)), [len(customer_times) for customer_times in times])
     order = np.argsort(all_times, kind="stable")
     count = len(all_times)
-    shares = np.array([request_class.share for request_class in experiment.classes])
+    shares = np.array([request_class.request_share for request_class in experiment.classes])
     classes = rng.choice(len(shares), count, p=shares / shares.sum())
-    mean_works = np.array([request_class.work for request_class in experiment.classes])
+    mean_works = np.array([request_class.mean_work_ms for request_class in experiment.classes])
     works = rng.exponential(1.0, count) * mean_works[classes]
     deadlines = np.array([request_class.deadline for request_class in experiment.classes])
-    client_timeouts = rng.uniform(*experiment.clients.timeout_share, count) * deadlines[classes]
+    client_timeouts = rng.uniform(*experiment.clients.client_timeout_fraction, count) * deadlines[classes]
     return Arrivals(
         times=all_times[order].tolist(),
         customers=customers[order].tolist(),
@@ -96,7 +96,7 @@
 def _draw_times(rng: np.random.Generator, usage: UsageParameters, rate: float, duration: float) -> Floats:
     """Times of one customer's requests, in order; `rate` is its plan's rate in units a ms."""
 
-    def poisson(rate_factor: Range, begin: float, end: float) -> Floats:
+    def poisson(rate_factor: FloatRange, begin: float, end: float) -> Floats:
         mean = rate * rng.uniform(*rate_factor) * (end - begin)
         return np.asarray(rng.uniform(begin, end, rng.poisson(mean)))
 
@@ -120,14 +120,14 @@
 ) -> Integers:
     """Which limiter of the customer's set, from 0, each of its requests comes in through."""
     clients = experiment.clients
-    if rng.random() < clients.single_share:
+    if rng.random() < clients.single_limiter_share:
         return np.full(len(times), rng.integers(size))
     weights = np.arange(1.0, size + 1) ** -rng.uniform(*clients.skew)
     weights /= weights.sum()
     members = np.zeros(len(times), dtype=np.int64)
     begin = 0.0
     while begin < experiment.duration:
-        end = begin + rng.uniform(*clients.shift_interval)
+        end = begin + rng.uniform(*clients.rank_change_interval)
         low, high = np.searchsorted(times, (begin, end))
         member_of_rank = rng.permutation(size)
         members[low:high] = member_of_rank[rng.choice(size, high - low, p=weights)]
--- a/scale/hollow/discovery.py
+++ b/scale/hollow/discovery.py
@@ -9,7 +9,7 @@
 
 from limiter.model.events import Endpoint, EndpointsChanged, EndpointState
 from scale.hollow.clock import FanOut, VirtualClock
-from scale.hollow.plan import HollowExperiment, Range
+from scale.hollow.plan import FloatRange, HollowExperiment
 
 
 class Discovery:
@@ -39,7 +39,7 @@
         """The whole list, as a limiter gets it when it starts."""
         return EndpointsChanged(tuple(self.endpoints.values()), is_full_list=True)
 
-    def report_changes(self, endpoints: Iterable[Endpoint], delay: Range) -> None:
+    def report_changes(self, endpoints: Iterable[Endpoint], delay: FloatRange) -> None:
         """Changes that happen now; discovery learns of each after a delay drawn from the range, in ms."""
         for endpoint in endpoints:
             self._observed_count += 1
--- a/scale/hollow/limiters.py
+++ b/scale/hollow/limiters.py
@@ -240,7 +240,7 @@
         may_cancel=True,
         has_counter=True,
         may_gossip=True,
-        gossip_intake_per_second=experiment.network.peer_intake,
+        gossip_intake_per_second=experiment.network.gossip_intake_per_second,
         counter_timeout=experiment.counter.timeout,
         slow_start_capacity=servers.slow_start_capacity,
         slow_start_duration=servers.slow_start_duration,
@@ -265,5 +265,5 @@
         rate=0.0 if is_capped else parameters.rate,
         burst=0.0 if is_capped else parameters.burst,
         max_concurrency=parameters.max_concurrency,
-        price=parameters.price,
+        price=parameters.request_priority_factor,
     )
--- a/scale/hollow/network.py
+++ b/scale/hollow/network.py
@@ -51,14 +51,14 @@
     def draw_delay(self, zone: int, other: int) -> float:
         """Draw the one-way delay between two zones, in ms; infinite across a partition."""
         if zone == other:
-            return self._rng.uniform(*self._parameters.same_zone)
+            return self._rng.uniform(*self._parameters.same_zone_delay)
         region = self.topology.region_of_zone(zone)
         other_region = self.topology.region_of_zone(other)
         if region == other_region:
-            return self._rng.uniform(*self._parameters.cross_zone)
+            return self._rng.uniform(*self._parameters.cross_zone_delay)
         if not self.is_connected(region, other_region):
             return math.inf
-        return self._rng.uniform(*self._parameters.cross_region)
+        return self._rng.uniform(*self._parameters.cross_region_delay)
 
     def is_connected(self, region: int, other: int) -> bool:
         """Whether packets pass between two regions."""
@@ -94,13 +94,13 @@
         """Send one datagram to each other limiter; return how many were sent."""
         parameters = self._parameters
         region = int(self._regions[sender])
-        delays = self._rng.uniform(*parameters.peer, self._limiter_count)
-        arrives = self._rng.random(self._limiter_count) >= parameters.peer_loss
+        delays = self._rng.uniform(*parameters.gossip_delay, self._limiter_count)
+        arrives = self._rng.random(self._limiter_count) >= parameters.gossip_loss_rate
         arrives[sender] = False
         region_count = self._network.topology.region_count
         if region_count > 1:
             is_remote = self._regions != region
-            delays += is_remote * self._rng.uniform(*parameters.cross_region, self._limiter_count)
+            delays += is_remote * self._rng.uniform(*parameters.cross_region_delay, self._limiter_count)
             for other in range(region_count):
                 if not self._network.is_connected(region, other):
                     arrives &= self._regions != other
@@ -124,8 +124,8 @@
     def __init__(self, parameters: NetworkParameters) -> None:
         """Start with a full bucket."""
         self.dropped_datagram_count = 0
-        self._rate = parameters.peer_intake / 1000  # datagrams a ms
-        self._burst = parameters.peer_intake_burst
+        self._rate = parameters.gossip_intake_per_second / 1000  # datagrams a ms
+        self._burst = parameters.gossip_intake_burst
         self._tokens = self._burst
         self._updated_at = 0.0
 
--- a/scale/hollow/result_lines.py
+++ b/scale/hollow/result_lines.py
@@ -130,9 +130,9 @@
         "experiment": simulation.experiment.name,
         "seed": simulation.experiment.seed,
         "fault": str(type(fault).__struct_config__.tag),
-        "at_ms": fault.at,
-        "ends_ms": fault.at + fault.duration(),
-        **simulation.tally.measure_recovery(fault.at),
+        "at_ms": fault.starts_at,
+        "ends_ms": fault.starts_at + fault.compute_total_duration(),
+        **simulation.tally.measure_recovery(fault.starts_at),
     }
 
 
@@ -201,7 +201,7 @@
 
 def _gossip_age_figures(simulation: Simulation) -> GossipAgeFigures:
     ages = simulation.gossip_ages
-    intake = simulation.experiment.network.peer_intake
+    intake = simulation.experiment.network.gossip_intake_per_second
     interval_ms = 1000 * (simulation.experiment.limiters - 1) / (MAX_INTAKE_FRACTION * intake)
     return {
         "telling_interval_ms": rounded(interval_ms),
--- a/scale/hollow/server.py
+++ b/scale/hollow/server.py
@@ -160,7 +160,7 @@
         if self._running_count < self._parameters.cores:
             self._jobs[job] = None
             self._run(job)
-        elif self._queued_count < self._parameters.queue:
+        elif self._queued_count < self._parameters.max_queue_length:
             self._jobs[job] = None
             self._queue.append(job)
             self._queued_count += 1
--- a/scale/hollow/servers.py
+++ b/scale/hollow/servers.py
@@ -25,10 +25,12 @@
         self._delays = context.experiment.discovery
         self._discovery = discovery
         classes = context.experiment.classes
-        total_share = sum(request_class.share for request_class in classes)
-        total_work = sum(request_class.share * request_class.work for request_class in classes)
+        total_share = sum(request_class.request_share for request_class in classes)
+        total_work = sum(
+            request_class.request_share * request_class.mean_work_ms for request_class in classes
+        )
         self._model = ServerModel(self._parameters, total_work / total_share)
-        for _ in range(max(1, round(self._parameters.per_limiter * context.experiment.limiters))):
+        for _ in range(max(1, round(self._parameters.servers_per_limiter * context.experiment.limiters))):
             server = self._add()
             discovery.endpoints[server.id] = server.endpoint(EndpointState.READY)
 
@@ -43,7 +45,7 @@
             server.stop(is_machine_lost)
             self._clock.call_at(self._clock.now + down, self._restart, server)
         ended = [server.endpoint(EndpointState.GONE) for server in stopped]
-        self._discovery.report_changes(ended, self._delays.stopped)
+        self._discovery.report_changes(ended, self._delays.stop_detection_delay)
 
     def drain(self, server: Server, duration: float) -> None:
         """Drain a server; after `duration` ms a new one takes its place."""
@@ -59,11 +61,15 @@
         return server
 
     def _crashed(self, server: Server) -> None:
-        self._discovery.report_changes([server.endpoint(EndpointState.GONE)], self._delays.stopped)
+        self._discovery.report_changes(
+            [server.endpoint(EndpointState.GONE)], self._delays.stop_detection_delay
+        )
 
     def _restart(self, server: Server) -> None:
         server.start()
-        self._discovery.report_changes([server.endpoint(EndpointState.READY)], self._delays.started)
+        self._discovery.report_changes(
+            [server.endpoint(EndpointState.READY)], self._delays.start_detection_delay
+        )
 
     def _replace(self, server: Server) -> None:
         if not server.is_up:
--- a/scale/hollow/tally.py
+++ b/scale/hollow/tally.py
@@ -59,7 +59,7 @@
         self.attempt_outcomes = dict.fromkeys(Outcome, 0)
         self._warm_up = experiment.warm_up
         self._duration = experiment.duration
-        self._window = experiment.window
+        self._window = experiment.recovery_window
 
     def request_arrived(self, now: float) -> None:
         """A client sends a request now."""
--- a/tests/scale/test_hollow_simulated_peers.py
+++ b/tests/scale/test_hollow_simulated_peers.py
@@ -59,7 +59,7 @@
     def __init__(self, started_at: float, **parameters: Any) -> None:
         """Set keys of the experiment's table `servers`."""
         self.clock = VirtualClock()
-        figures = ServerParameters(per_limiter=1.0, **parameters)
+        figures = ServerParameters(servers_per_limiter=1.0, **parameters)
         self.outcomes: list[Outcome] = []
         self.crashed: list[Server] = []
         model = ServerModel(figures, mean_work_ms=100.0)
@@ -87,7 +87,7 @@
 
 
 def test_a_gossip_intake_drops_datagrams_beyond_its_rate_and_burst() -> None:
-    intake = GossipReceiveLimit(NetworkParameters(peer_intake=10.0, peer_intake_burst=2.0))
+    intake = GossipReceiveLimit(NetworkParameters(gossip_intake_per_second=10.0, gossip_intake_burst=2.0))
     assert [intake.admit(0.0) for _ in range(5)] == [True, True, False, False, False]
     assert not intake.admit(99.0)
     assert intake.admit(101.0)
@@ -95,7 +95,7 @@
 
 
 def test_the_counter_adds_in_order_and_rejects_calls_beyond_its_queue() -> None:
-    bench = CounterBench(calls_per_s=1000.0, queue=4, timeout=30.0)
+    bench = CounterBench(calls_per_s=1000.0, max_queue_length=4, timeout=30.0)
     for _ in range(10):
         bench.add(time_to_live=100.0)
     bench.clock.run(50.0)
@@ -130,7 +130,7 @@
 
 
 def test_a_server_runs_a_job_on_each_core_queues_some_and_rejects_the_rest() -> None:
-    bench = ServerBench(WARM, cores=2, queue=3)
+    bench = ServerBench(WARM, cores=2, max_queue_length=3)
     jobs = [bench.send() for _ in range(8)]
     assert bench.outcomes == [Outcome.REJECTED] * 3
     bench.server.remove_job(jobs[0])  # cancelled: its core is free at once
@@ -143,7 +143,7 @@
 
 
 def test_a_server_that_stops_resets_its_jobs_and_takes_no_more() -> None:
-    bench = ServerBench(WARM, cores=2, queue=3)
+    bench = ServerBench(WARM, cores=2, max_queue_length=3)
     bench.send()
     bench.server.stop()
     bench.send()
@@ -155,7 +155,7 @@
     bench = ServerBench(
         started_at,
         cores=2,
-        queue=100,
+        max_queue_length=100,
         slow_start_capacity=0.2,
         slow_start_duration=10000.0,
         slow_start_overload=2.0,
@@ -180,7 +180,7 @@
 
 
 def test_a_quota_refills_at_its_rate_and_units_beyond_it_take_nothing() -> None:
-    quota = Quota(PlanParameters(share=1.0, rate=2.0, burst=3.0))
+    quota = Quota(PlanParameters(request_share=1.0, rate=2.0, burst=3.0))
     assert [quota.take_units(0.0, 1.0) for _ in range(4)] == [True, True, True, False]
     assert not quota.is_half_free(0.0)
     assert quota.take_units(500.0, 1.0)
@@ -189,7 +189,7 @@
 
 
 def test_a_quota_on_concurrency_counts_attempts_in_flight() -> None:
-    quota = Quota(PlanParameters(share=1.0, rate=2.0, max_concurrency=2))
+    quota = Quota(PlanParameters(request_share=1.0, rate=2.0, max_concurrency=2))
     quota.record_attempt_start()
     assert quota.take_units(0.0, 1.0)
     assert quota.is_half_free(0.0)
