--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -21,8 +21,8 @@
     def __init__(
         self,
         context: Context,
-        servers: Mapping[bytes, Server],
-        ledger: RequestTracker,
+        servers_by_id: Mapping[bytes, Server],
+        request_tracker: RequestTracker,
     ) -> None:
         """Take the servers by id, and the ledger of the requests that attempts are made for."""
         self._clock = context.clock
@@ -30,10 +30,10 @@
         self._tally = context.tally
         self._gossip_ages = context.gossip_ages
         self._max_attempts = context.experiment.max_attempts
-        self._servers = servers
-        self._ledger = ledger
+        self._servers_by_id = servers_by_id
+        self._request_tracker = request_tracker
 
-    def send(self, limiter: RequestOwner, action: SendAttempt) -> None:
+    def send_attempt(self, limiter: RequestOwner, action: SendAttempt) -> None:
         """Carry out SendAttempt; one for a request that is over ends at once with REQUEST_OVER."""
         request = limiter.requests.get(action.request_id)
         if request is None:
@@ -41,37 +41,39 @@
         now = self._clock.now
         time_left = request.event.expires_at - now
         timeout = min(action.timeout, time_left) if action.timeout else time_left
-        attempt = Attempt(request, limiter, self._servers[action.endpoint_id], now, self._server_replied)
+        attempt = Attempt(
+            request, limiter, self._servers_by_id[action.endpoint_id], now, self._send_reply_to_limiter
+        )
         if request.outcome is not None or timeout <= 0 or attempt.number >= self._max_attempts:
-            request.attempt_began(attempt)
-            self._clock.call_at(now, self.end, attempt, Outcome.REQUEST_ENDED)
+            request.add_attempt(attempt)
+            self._clock.call_at(now, self.end_attempt, attempt, Outcome.REQUEST_ENDED)
             return
         if attempt.number == 0:
-            self._record_forwarded(attempt)
-        request.attempt_began(attempt)
-        self._tally.attempt_sent()
+            self._record_forwarded_request(attempt)
+        request.add_attempt(attempt)
+        self._tally.record_attempt_sent()
         server = attempt.server
         self._network.call_after_delay(limiter.zone, server.zone, server.receive_job, attempt)
         if timeout < time_left - TIMEOUT_MARGIN_MS:
-            self._clock.call_at(now + timeout, self.end, attempt, Outcome.TIMEOUT)
+            self._clock.call_at(now + timeout, self.end_attempt, attempt, Outcome.TIMEOUT)
 
-    def cancel(self, request: Request, number: int) -> None:
+    def cancel_attempt(self, request: Request, number: int) -> None:
         """Carry out CancelAttempt: the attempt ends at once; nothing if it has ended."""
-        for attempt in request.in_flight:
+        for attempt in request.attempts_in_flight:
             if attempt.number == number:
-                self._clock.call_at(self._clock.now, self.end, attempt, Outcome.CANCELLED)
+                self._clock.call_at(self._clock.now, self.end_attempt, attempt, Outcome.CANCELLED)
 
-    def end(self, attempt: Attempt, outcome: Outcome) -> None:
+    def end_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         """End an attempt at its limiter and notify its policy engine; nothing if it has ended."""
-        if attempt.is_ended:
+        if attempt.is_ended_at_limiter:
             return
-        self.release(attempt)
-        self._tally.attempt_ended(outcome)
+        self.release_attempt(attempt)
+        self._tally.record_attempt_outcome(outcome)
         request = attempt.request
         if outcome not in NOT_EXECUTED_OUTCOMES:
-            request.ran()
+            request.record_possible_execution()
         if outcome is Outcome.OK and request.outcome is None:
-            self._ledger.end_request(request, RequestOutcome.SERVED)
+            self._request_tracker.end_request(request, RequestOutcome.SERVED)
         event = AttemptEnded(
             request_id=request.event.id,
             attempt=attempt.number,
@@ -80,24 +82,26 @@
             latency=self._clock.now - attempt.sent_at,
             request_finished=request.outcome is not None,
         )
-        attempt.limiter.feed(event)
-        self._ledger.forget_if_over(attempt.limiter, request)
+        attempt.limiter.process_event(event)
+        self._request_tracker.remove_if_over(attempt.limiter, request)
 
-    def release(self, attempt: Attempt) -> None:
+    def release_attempt(self, attempt: Attempt) -> None:
         """Take an attempt off its limiter; a server that still works on it is notified."""
-        attempt.end()
-        if not attempt.is_over:
+        attempt.end_at_limiter()
+        if not attempt.is_ended_at_server:
             server = attempt.server
             self._network.call_after_delay(attempt.limiter.zone, server.zone, server.remove_job, attempt)
 
-    def _server_replied(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _send_reply_to_limiter(self, attempt: Attempt, outcome: Outcome) -> None:
         """Send a server's response to the limiter."""
-        self._network.call_after_delay(attempt.limiter.zone, attempt.server.zone, self.end, attempt, outcome)
+        self._network.call_after_delay(
+            attempt.limiter.zone, attempt.server.zone, self.end_attempt, attempt, outcome
+        )
 
-    def _record_forwarded(self, attempt: Attempt) -> None:
+    def _record_forwarded_request(self, attempt: Attempt) -> None:
         """Count a request's units when it is forwarded for the first time."""
         request = attempt.request
         now = self._clock.now
         units = request.event.units
-        self._tally.units_forwarded(now, units, request.quota.take_units(now, units))
+        self._tally.record_forwarded_units(now, units, request.quota.take_units(now, units))
         self._gossip_ages.record_usage(now, attempt.limiter.number, request.event.customer, units)
--- a/scale/hollow/clock.py
+++ b/scale/hollow/clock.py
@@ -17,22 +17,22 @@
     def __init__(self, start: float = 0.0) -> None:
         """Start at a time in ms, with nothing scheduled."""
         self.now = start
-        self.run_limit = math.inf  # ms; time at which the present `run` ends
+        self.run_end = math.inf  # ms; time at which the present `run` ends
         # By time, then by the order of scheduling: callbacks and their arguments.
-        self.queue: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
+        self.scheduled_callbacks: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._scheduled_count = 0
 
     def call_at(self, time: float, callback: Callable[[*Arguments], None], *args: *Arguments) -> None:
         """Schedule `callback(*args)` at `time`, in ms."""
         self._scheduled_count += 1
-        heappush(self.queue, (time, self._scheduled_count, callback, args))
+        heappush(self.scheduled_callbacks, (time, self._scheduled_count, callback, args))
 
     def run(self, until: float) -> None:
         """Run what is due up to and including `until`, in ms; the clock stands there afterwards."""
-        self.run_limit = until
-        queue = self.queue
-        while queue and queue[0][0] <= until:
-            self.now, _, callback, args = heappop(queue)
+        self.run_end = until
+        scheduled_callbacks = self.scheduled_callbacks
+        while scheduled_callbacks and scheduled_callbacks[0][0] <= until:
+            self.now, _, callback, args = heappop(scheduled_callbacks)
             callback(*args)
         self.now = until
 
@@ -52,19 +52,19 @@
         self._deliveries = iter(deliveries)
         self._deliver = deliver
         self._item = item
-        self._next = next(self._deliveries, None)
-        if self._next is not None:
-            clock.call_at(self._next[0], self._run)
+        self._next_delivery = next(self._deliveries, None)
+        if self._next_delivery is not None:
+            clock.call_at(self._next_delivery[0], self._deliver_due_items)
 
-    def _run(self) -> None:
+    def _deliver_due_items(self) -> None:
         """Deliver up to the next other entry of the queue, or up to the end of the clock's run."""
         clock = self._clock
-        queue = clock.queue
-        while self._next is not None:
-            time, receiver = self._next
-            if time > clock.run_limit or (queue and queue[0][0] < time):
-                clock.call_at(time, self._run)
+        scheduled_callbacks = clock.scheduled_callbacks
+        while self._next_delivery is not None:
+            time, receiver = self._next_delivery
+            if time > clock.run_end or (scheduled_callbacks and scheduled_callbacks[0][0] < time):
+                clock.call_at(time, self._deliver_due_items)
                 return
             clock.now = time
-            self._next = next(self._deliveries, None)
+            self._next_delivery = next(self._deliveries, None)
             self._deliver(receiver, self._item)
--- a/scale/hollow/counter.py
+++ b/scale/hollow/counter.py
@@ -29,9 +29,9 @@
     def __init__(self, network: Network, parameters: CounterParameters, seed: int) -> None:
         """Stand in the first zone of the region that the parameters name."""
         self.totals_by_key: dict[int, CounterTotal] = {}
-        self.calls = 0
+        self.call_count = 0
         self.rejected_call_count = 0
-        self.timed_out_calls = 0
+        self.timed_out_call_count = 0
         self.is_down = False
         self._clock = network.clock
         self._network = network
@@ -39,19 +39,19 @@
         self._rng = Random(f"{seed}:counter")
         topology = network.topology
         zones = range(topology.zone_count)
-        self._zone = next(zone for zone in zones if topology.region_of_zone(zone) == parameters.region)
+        self._zone = next(zone for zone in zones if topology.get_region_of_zone(zone) == parameters.region)
         self._service_time_ms = 1000 / parameters.calls_per_s
         self._idle_at = 0.0
 
     def add(self, zone: int, call: IncrementCounter, on_reply: ReplyCallback) -> None:
         """Call from that zone; `on_reply` is called exactly once, at the time-out at the latest."""
-        self.calls += 1
+        self.call_count += 1
         called_at = self._clock.now
         delay = self._network.draw_delay(zone, self._zone)
         if self.is_down or math.isinf(delay):
-            self._time_out(called_at, on_reply)
+            self._schedule_timeout(called_at, on_reply)
         else:
-            self._clock.call_at(called_at + delay, self._arrived, zone, call, on_reply, called_at)
+            self._clock.call_at(called_at + delay, self._handle_call, zone, call, on_reply, called_at)
 
     def begin_outage(self) -> None:
         """Begin an outage: calls time out until `restore`."""
@@ -61,11 +61,13 @@
         """End an outage; totals were kept."""
         self.is_down = False
 
-    def _arrived(self, zone: int, call: IncrementCounter, on_reply: ReplyCallback, called_at: float) -> None:
+    def _handle_call(
+        self, zone: int, call: IncrementCounter, on_reply: ReplyCallback, called_at: float
+    ) -> None:
         now = self._clock.now
         delay = self._network.draw_delay(zone, self._zone)
         if self.is_down:
-            self._time_out(called_at, on_reply)
+            self._schedule_timeout(called_at, on_reply)
             return
         outcome = Outcome.REJECTED
         total = 0.0
@@ -78,7 +80,7 @@
         else:
             self.rejected_call_count += 1
         if done_at + delay > called_at + self._parameters.timeout:
-            self._time_out(called_at, on_reply)
+            self._schedule_timeout(called_at, on_reply)
         else:
             self._clock.call_at(done_at + delay, on_reply, outcome, total)
 
@@ -91,6 +93,6 @@
         self.totals_by_key[call.key] = total
         return total.units
 
-    def _time_out(self, called_at: float, on_reply: ReplyCallback) -> None:
-        self.timed_out_calls += 1
+    def _schedule_timeout(self, called_at: float, on_reply: ReplyCallback) -> None:
+        self.timed_out_call_count += 1
         self._clock.call_at(called_at + self._parameters.timeout, on_reply, Outcome.TIMEOUT, 0.0)
--- a/scale/hollow/customers.py
+++ b/scale/hollow/customers.py
@@ -33,7 +33,7 @@
     customers: list[int]
     limiters: list[int]
     classes: list[int]
-    works: list[float]  # ms of one core
+    work_amounts_ms: list[float]  # ms of one core
     client_timeouts: list[float]  # ms
 
 
@@ -43,13 +43,13 @@
     customers: list[Customer] = []
     times: list[Floats] = []
     limiters: list[Integers] = []
-    total_rate = experiment.limiters * experiment.clients.request_rate_per_limiter
-    rate_per_share = total_rate / sum(plan.request_share for plan in experiment.plans)
-    for number, plan in enumerate(experiment.plans):
-        drawn_rate = 0.0
-        while drawn_rate < plan.request_share * rate_per_share:
-            customer, customer_times, customer_limiters = _draw_customer(rng, experiment, number, plan)
-            drawn_rate += 1000 * len(customer_times) / experiment.duration
+    total_request_rate = experiment.limiters * experiment.clients.request_rate_per_limiter
+    rate_per_share = total_request_rate / sum(plan.request_share for plan in experiment.plans)
+    for plan_number, plan in enumerate(experiment.plans):
+        drawn_request_rate = 0.0
+        while drawn_request_rate < plan.request_share * rate_per_share:
+            customer, customer_times, customer_limiters = _draw_customer(rng, experiment, plan_number, plan)
+            drawn_request_rate += 1000 * len(customer_times) / experiment.duration
             customers.append(customer)
             times.append(customer_times)
             limiters.append(customer_limiters)
@@ -57,15 +57,15 @@
 
 
 def _draw_customer(
-    rng: np.random.Generator, experiment: HollowExperiment, number: int, plan: PlanParameters
+    rng: np.random.Generator, experiment: HollowExperiment, plan_number: int, plan: PlanParameters
 ) -> tuple[Customer, Floats, Integers]:
     """One customer of the plan with that number; times of its requests, and their limiters."""
-    times = _draw_times(rng, experiment.usage, plan.rate / 1000, experiment.duration)
+    times = _draw_request_times(rng, experiment.usage, plan.rate / 1000, experiment.duration)
     low, high = experiment.clients.limiters_per_customer
     size = min(experiment.limiters, int(rng.integers(low, high + 1)))
     start = int(rng.integers(experiment.limiters))
     limiters = (start + _draw_set_members(rng, experiment, times, size)) % experiment.limiters
-    customer = Customer(number, start, size, Quota(plan), frozenset(limiters.tolist()))
+    customer = Customer(plan_number, start, size, Quota(plan), frozenset(limiters.tolist()))
     return customer, times, limiters
 
 
@@ -79,8 +79,8 @@
     count = len(all_times)
     shares = np.array([request_class.request_share for request_class in experiment.classes])
     classes = rng.choice(len(shares), count, p=shares / shares.sum())
-    mean_works = np.array([request_class.mean_work_ms for request_class in experiment.classes])
-    works = rng.exponential(1.0, count) * mean_works[classes]
+    mean_work_amounts_ms = np.array([request_class.mean_work_ms for request_class in experiment.classes])
+    work_amounts_ms = rng.exponential(1.0, count) * mean_work_amounts_ms[classes]
     deadlines = np.array([request_class.deadline for request_class in experiment.classes])
     client_timeouts = rng.uniform(*experiment.clients.client_timeout_fraction, count) * deadlines[classes]
     return Arrivals(
@@ -88,31 +88,33 @@
         customers=customers[order].tolist(),
         limiters=np.concatenate(limiters)[order].tolist(),
         classes=classes.tolist(),
-        works=works.tolist(),
+        work_amounts_ms=work_amounts_ms.tolist(),
         client_timeouts=client_timeouts.tolist(),
     )
 
 
-def _draw_times(rng: np.random.Generator, usage: UsageParameters, rate: float, duration: float) -> Floats:
+def _draw_request_times(
+    rng: np.random.Generator, usage: UsageParameters, units_per_ms: float, duration: float
+) -> Floats:
     """Times of one customer's requests, in order; `rate` is its plan's rate in units a ms."""
 
-    def poisson(rate_factor: FloatRange, begin: float, end: float) -> Floats:
-        mean = rate * rng.uniform(*rate_factor) * (end - begin)
+    def draw_poisson_times(rate_factor: FloatRange, begin: float, end: float) -> Floats:
+        mean = units_per_ms * rng.uniform(*rate_factor) * (end - begin)
         return np.asarray(rng.uniform(begin, end, rng.poisson(mean)))
 
     profile = rng.random()
     if profile < usage.full_share:
-        return np.sort(poisson(usage.full_usage, 0.0, duration))
+        return np.sort(draw_poisson_times(usage.full_usage, 0.0, duration))
     if profile < usage.full_share + usage.heavy_share:
-        return np.sort(poisson(usage.heavy_usage, 0.0, duration))
-    parts = [poisson(usage.calm_usage, 0.0, duration)]
+        return np.sort(draw_poisson_times(usage.heavy_usage, 0.0, duration))
+    times_by_part = [draw_poisson_times(usage.calm_usage, 0.0, duration)]
     if profile < usage.full_share + usage.heavy_share + usage.spiky_share:
         begin = rng.uniform(0.0, usage.spike_interval[1])
         while begin < duration:
             end = min(duration, begin + rng.uniform(*usage.spike_duration))
-            parts.append(poisson(usage.spike_usage, begin, end))
+            times_by_part.append(draw_poisson_times(usage.spike_usage, begin, end))
             begin += rng.uniform(*usage.spike_interval)
-    return np.sort(np.concatenate(parts))
+    return np.sort(np.concatenate(times_by_part))
 
 
 def _draw_set_members(
--- a/scale/hollow/discovery.py
+++ b/scale/hollow/discovery.py
@@ -18,7 +18,7 @@
     def __init__(self, clock: VirtualClock, experiment: HollowExperiment) -> None:
         """List no server yet, and push changes to nobody until `subscribe`."""
         self.endpoints: dict[bytes, Endpoint] = {}
-        self.changes = 0  # number of changes pushed so far
+        self.pushed_change_count = 0  # number of changes pushed so far
         self.is_down = False
         self._clock = clock
         self._parameters = experiment.discovery
@@ -26,25 +26,25 @@
         self._deliver: Callable[[int, EndpointsChanged], None] | None = None
         self._rng = Random(f"{experiment.seed}:discovery")
         self._push_rng = np.random.default_rng([experiment.seed, 3])
-        self._held_back: list[Endpoint] = []  # changes learnt during an outage
-        self._observed_count = 0
+        self._unpushed_changes: list[Endpoint] = []  # changes learnt during an outage
+        self._reported_change_count = 0
         # Number of the latest change that discovery has learnt, by endpoint id.
-        self._newest: dict[bytes, int] = {}
+        self._latest_change_numbers: dict[bytes, int] = {}
 
     def subscribe(self, deliver: Callable[[int, EndpointsChanged], None]) -> None:
         """Hand each change to `deliver(limiter, change)`, for each limiter at its time."""
         self._deliver = deliver
 
-    def full_list(self) -> EndpointsChanged:
+    def make_full_list(self) -> EndpointsChanged:
         """The whole list, as a limiter gets it when it starts."""
         return EndpointsChanged(tuple(self.endpoints.values()), is_full_list=True)
 
-    def report_changes(self, endpoints: Iterable[Endpoint], delay: FloatRange) -> None:
+    def report_changes(self, endpoints: Iterable[Endpoint], delay_range: FloatRange) -> None:
         """Changes that happen now; discovery learns of each after a delay drawn from the range, in ms."""
         for endpoint in endpoints:
-            self._observed_count += 1
-            due = self._clock.now + self._rng.uniform(*delay)
-            self._clock.call_at(due, self._learn, endpoint, self._observed_count)
+            self._reported_change_count += 1
+            due = self._clock.now + self._rng.uniform(*delay_range)
+            self._clock.call_at(due, self._apply_change, endpoint, self._reported_change_count)
 
     def begin_outage(self) -> None:
         """Begin an outage: changes are held back until `restore`."""
@@ -53,23 +53,25 @@
     def end_outage(self) -> None:
         """End an outage: push what was held back."""
         self.is_down = False
-        held_back = tuple(self._held_back)
-        self._held_back = []
-        if held_back:
-            self._push(held_back)
+        unpushed_changes = tuple(self._unpushed_changes)
+        self._unpushed_changes = []
+        if unpushed_changes:
+            self._push(unpushed_changes)
 
-    def _learn(self, endpoint: Endpoint, number: int) -> None:
-        is_outdated = number < self._newest.get(endpoint.id, 0)  # a later change was learnt sooner
+    def _apply_change(self, endpoint: Endpoint, number: int) -> None:
+        is_outdated = number < self._latest_change_numbers.get(
+            endpoint.id, 0
+        )  # a later change was learnt sooner
         if is_outdated:
             return
-        self._newest[endpoint.id] = number
+        self._latest_change_numbers[endpoint.id] = number
         if self.is_down:
-            self._held_back.append(endpoint)
+            self._unpushed_changes.append(endpoint)
         else:
             self._push((endpoint,))
 
     def _push(self, endpoints: tuple[Endpoint, ...]) -> None:
-        self.changes += len(endpoints)
+        self.pushed_change_count += len(endpoints)
         for endpoint in endpoints:
             if endpoint.state is EndpointState.GONE:
                 self.endpoints.pop(endpoint.id, None)
--- a/scale/hollow/faults.py
+++ b/scale/hollow/faults.py
@@ -43,13 +43,13 @@
             case RestartLimiters():
                 self._restart_limiters(fault)
             case RestartServers():
-                running = self._server_fleet.running()
+                running = self._server_fleet.list_running_servers()
                 chosen = [running[index] for index in self._draw_indices(len(running), fault.server_share)]
-                self._server_fleet.stop(chosen, fault.downtime, is_machine_lost=False)
+                self._server_fleet.stop_servers(chosen, fault.downtime, is_machine_lost=False)
             case DrainServers():
-                running = self._server_fleet.running()
+                running = self._server_fleet.list_running_servers()
                 for index in self._draw_indices(len(running), fault.server_share):
-                    self._server_fleet.drain(running[index], fault.drain_duration)
+                    self._server_fleet.drain_server(running[index], fault.drain_duration)
             case ZoneOutage():
                 self._begin_zone_outage(fault)
             case RegionPartition():
@@ -75,16 +75,20 @@
         for index, number in enumerate(chosen):
             batch = index * fault.batch_count // len(chosen)
             kill_at = self._clock.now + batch * fault.batch_interval
-            self._clock.call_at(kill_at, self._limiter_host.kill, limiters[number])
-            self._clock.call_at(kill_at + fault.downtime, self._limiter_host.start, limiters[number])
+            self._clock.call_at(kill_at, self._limiter_host.kill_limiter, limiters[number])
+            self._clock.call_at(kill_at + fault.downtime, self._limiter_host.start_limiter, limiters[number])
 
     def _begin_zone_outage(self, fault: ZoneOutage) -> None:
         if fault.affects_servers:
-            in_zone = [server for server in self._server_fleet.running() if server.zone == fault.zone]
-            self._server_fleet.stop(in_zone, fault.fault_duration, is_machine_lost=True)
+            in_zone = [
+                server for server in self._server_fleet.list_running_servers() if server.zone == fault.zone
+            ]
+            self._server_fleet.stop_servers(in_zone, fault.fault_duration, is_machine_lost=True)
         if not fault.affects_limiters:
             return
         for limiter in self._limiter_host.limiters:
             if limiter.zone == fault.zone:
-                self._limiter_host.kill(limiter)
-                self._clock.call_at(self._clock.now + fault.fault_duration, self._limiter_host.start, limiter)
+                self._limiter_host.kill_limiter(limiter)
+                self._clock.call_at(
+                    self._clock.now + fault.fault_duration, self._limiter_host.start_limiter, limiter
+                )
--- a/scale/hollow/gossip_age.py
+++ b/scale/hollow/gossip_age.py
@@ -41,11 +41,11 @@
 class UnreportedUsage:
     """Units forwarded at a time that no message has reported in full."""
 
-    __slots__ = ("time", "units")
+    __slots__ = ("forwarded_at", "units")
 
-    def __init__(self, time: float, units: float) -> None:
+    def __init__(self, forwarded_at: float, units: float) -> None:
         """Nothing of it is reported yet."""
-        self.time = time  # ms
+        self.forwarded_at = forwarded_at  # ms
         self.units = units  # units that are not reported yet
 
 
@@ -53,7 +53,11 @@
     """Follows usage from forwarding, through the message that reports it, to each receiver."""
 
     def __init__(
-        self, customers: list[Customer], begin: float, end: float, decoder: UsageDecoder = decode_usage
+        self,
+        customers: list[Customer],
+        count_from: float,
+        count_until: float,
+        decoder: UsageDecoder = decode_usage,
     ) -> None:
         """Count usage from `begin` to `end`, in ms."""
         # How often each age occurred, by age in steps.
@@ -63,8 +67,8 @@
         # Pairs whose limiter has learnt of the usage.
         self.learnt_pair_count = 0
         self._customers = customers
-        self._begin = begin
-        self._end = end
+        self._count_from = count_from
+        self._count_until = count_until
         self._decoder = decoder
         # Usage by limiter and customer, the oldest first.
         self._unreported: dict[int, dict[int, deque[UnreportedUsage]]] = {}
@@ -73,11 +77,11 @@
         """A limiter forwards a customer's request now."""
         by_customer = self._unreported.setdefault(limiter, {})
         by_customer.setdefault(customer, deque()).append(UnreportedUsage(now, units))
-        if self._begin <= now < self._end:
+        if self._count_from <= now < self._count_until:
             limiters = self._customers[customer].used_limiters
             self.expected_pair_count += len(limiters) - (limiter in limiters)
 
-    def message_sent(self, sender: int, engine: PolicyEngine, body: bytes) -> GossipMessage:
+    def track_sent_message(self, sender: int, engine: PolicyEngine, body: bytes) -> GossipMessage:
         """Find the usage that a message reports in full, the oldest first, and its receivers."""
         usage_times: dict[int, list[float]] = {}
         by_customer = self._unreported.get(sender, {})
@@ -85,7 +89,7 @@
             unreported = by_customer.get(customer)
             if unreported is None:
                 continue
-            times = self._take_reported(unreported, units)
+            times = self._remove_reported_usage(unreported, units)
             if not unreported:
                 del by_customer[customer]
             if not times:
@@ -95,27 +99,27 @@
                     usage_times.setdefault(receiver, []).extend(times)
         return GossipMessage(sender, body, usage_times)
 
-    def message_received(self, now: float, receiver: int, message: GossipMessage) -> None:
+    def record_received_message(self, now: float, receiver: int, message: GossipMessage) -> None:
         """Count the ages of what a receiver learns."""
         for used_at in message.usage_times.get(receiver, ()):
             age = int((now - used_at) / AGE_STEP_MS)
             self.counts_by_age[age] = self.counts_by_age.get(age, 0) + 1
             self.learnt_pair_count += 1
 
-    def discard(self, limiter: int) -> None:
+    def discard_unreported_usage(self, limiter: int) -> None:
         """A limiter was killed: what it did not report is never learnt."""
         self._unreported.pop(limiter, None)
 
-    def _take_reported(self, unreported: deque[UnreportedUsage], units: float) -> list[float]:
+    def _remove_reported_usage(self, unreported: deque[UnreportedUsage], units: float) -> list[float]:
         """Take that many units off the oldest usage; times of what is now reported in full and counts."""
         times: list[float] = []
         while unreported and units > UNITS_EPSILON:
             usage = unreported[0]
-            taken = min(units, usage.units)
-            units -= taken
-            usage.units -= taken
+            reported_units = min(units, usage.units)
+            units -= reported_units
+            usage.units -= reported_units
             if usage.units <= UNITS_EPSILON:
                 unreported.popleft()
-                if self._begin <= usage.time < self._end:
-                    times.append(usage.time)
+                if self._count_from <= usage.forwarded_at < self._count_until:
+                    times.append(usage.forwarded_at)
         return times
--- a/scale/hollow/network.py
+++ b/scale/hollow/network.py
@@ -24,15 +24,15 @@
         self.zone_count = experiment.zones
         self.region_count = experiment.regions
 
-    def zone(self, number: int) -> int:
+    def get_zone(self, number: int) -> int:
         """Zone of the limiter or server with that number."""
         return number % self.zone_count
 
-    def region(self, number: int) -> int:
+    def get_region(self, number: int) -> int:
         """Region of the limiter or server with that number."""
-        return self.region_of_zone(self.zone(number))
+        return self.get_region_of_zone(self.get_zone(number))
 
-    def region_of_zone(self, zone: int) -> int:
+    def get_region_of_zone(self, zone: int) -> int:
         """Region that a zone belongs to."""
         return zone * self.region_count // self.zone_count
 
@@ -52,15 +52,15 @@
         """Draw the one-way delay between two zones, in ms; infinite across a partition."""
         if zone == other:
             return self._rng.uniform(*self._parameters.same_zone_delay)
-        region = self.topology.region_of_zone(zone)
-        other_region = self.topology.region_of_zone(other)
+        region = self.topology.get_region_of_zone(zone)
+        other_region = self.topology.get_region_of_zone(other)
         if region == other_region:
             return self._rng.uniform(*self._parameters.cross_zone_delay)
-        if not self.is_connected(region, other_region):
+        if not self.are_regions_connected(region, other_region):
             return math.inf
         return self._rng.uniform(*self._parameters.cross_region_delay)
 
-    def is_connected(self, region: int, other: int) -> bool:
+    def are_regions_connected(self, region: int, other: int) -> bool:
         """Whether packets pass between two regions."""
         return region == other or not self.partitioned_regions & {region, other}
 
@@ -82,12 +82,12 @@
         """Hand each datagram that arrives to `deliver(receiver, message)`."""
         self.clock = network.clock
         self.deliver = deliver
-        self.intakes = [GossipReceiveLimit(experiment.network) for _ in range(experiment.limiters)]
+        self.receive_limits = [GossipReceiveLimit(experiment.network) for _ in range(experiment.limiters)]
         self._network = network
         self._parameters = experiment.network
         self._rng = np.random.default_rng([experiment.seed, 2])
         self._limiter_count = experiment.limiters
-        regions = [network.topology.region(number) for number in range(experiment.limiters)]
+        regions = [network.topology.get_region(number) for number in range(experiment.limiters)]
         self._regions = np.array(regions)
 
     def broadcast(self, sender: int, message: MessageT) -> int:
@@ -95,24 +95,24 @@
         parameters = self._parameters
         region = int(self._regions[sender])
         delays = self._rng.uniform(*parameters.gossip_delay, self._limiter_count)
-        arrives = self._rng.random(self._limiter_count) >= parameters.gossip_loss_rate
-        arrives[sender] = False
+        is_delivered = self._rng.random(self._limiter_count) >= parameters.gossip_loss_rate
+        is_delivered[sender] = False
         region_count = self._network.topology.region_count
         if region_count > 1:
             is_remote = self._regions != region
             delays += is_remote * self._rng.uniform(*parameters.cross_region_delay, self._limiter_count)
             for other in range(region_count):
-                if not self._network.is_connected(region, other):
-                    arrives &= self._regions != other
-        receivers = np.flatnonzero(arrives)
+                if not self._network.are_regions_connected(region, other):
+                    is_delivered &= self._regions != other
+        receivers = np.flatnonzero(is_delivered)
         times = delays[receivers] + self.clock.now
         order = np.argsort(times, kind="stable")
         deliveries = zip(times[order].tolist(), receivers[order].tolist(), strict=True)
-        FanOut(self.clock, deliveries, self._arrived, message)
+        FanOut(self.clock, deliveries, self._handle_arrival, message)
         return self._limiter_count - 1
 
-    def _arrived(self, receiver: int, message: MessageT) -> None:
-        if self.intakes[receiver].admit(self.clock.now):
+    def _handle_arrival(self, receiver: int, message: MessageT) -> None:
+        if self.receive_limits[receiver].admit(self.clock.now):
             self.deliver(receiver, message)
 
 
--- a/scale/hollow/quota.py
+++ b/scale/hollow/quota.py
@@ -8,11 +8,11 @@
 class Quota:
     """Token bucket of units that starts full, or a cap on concurrent attempts, or both."""
 
-    __slots__ = ("_burst", "_max_concurrency", "_rate", "_tokens", "_updated_at", "in_flight")
+    __slots__ = ("_burst", "_max_concurrency", "_rate", "_tokens", "_updated_at", "in_flight_attempt_count")
 
     def __init__(self, plan: PlanParameters) -> None:
         """Start with a full bucket; a plan with a cap on concurrency has no rate."""
-        self.in_flight = 0  # number of attempts in flight, at all limiters
+        self.in_flight_attempt_count = 0  # number of attempts in flight, at all limiters
         self._rate = 0.0 if plan.max_concurrency else plan.rate / 1000  # units a ms
         self._burst = plan.burst
         self._max_concurrency = plan.max_concurrency
@@ -24,24 +24,24 @@
         self._refill(now)
         if self._rate and self._tokens < units:
             return False
-        if self._max_concurrency and self.in_flight >= self._max_concurrency:
+        if self._max_concurrency and self.in_flight_attempt_count >= self._max_concurrency:
             return False
         self._tokens -= units
         return True
 
     def record_attempt_start(self) -> None:
         """Count an attempt as in flight."""
-        self.in_flight += 1
+        self.in_flight_attempt_count += 1
 
-    def attempt_ended(self) -> None:
+    def record_attempt_end(self) -> None:
         """Count an attempt as not in flight any more."""
-        self.in_flight -= 1
+        self.in_flight_attempt_count -= 1
 
     def is_half_free(self, now: float) -> bool:
         """Whether half of the quota or more is unused."""
         self._refill(now)
-        bucket_is_half_full = not self._rate or 2 * self._tokens >= self._burst
-        return bucket_is_half_full and 2 * self.in_flight <= self._max_concurrency
+        is_bucket_half_full = not self._rate or 2 * self._tokens >= self._burst
+        return is_bucket_half_full and 2 * self.in_flight_attempt_count <= self._max_concurrency
 
     def _refill(self, now: float) -> None:
         self._tokens = min(self._burst, self._tokens + self._rate * (now - self._updated_at))
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -27,7 +27,7 @@
     def requests(self) -> dict[int, Request]:
         """Requests that are not over, by id."""
 
-    def feed(self, event: Event) -> None:
+    def process_event(self, event: Event) -> None:
         """Hand an event to the limiter's policy engine, and carry out the actions that it returns."""
 
 
@@ -35,43 +35,43 @@
     """One request of a client, a first one or a retry, at one limiter."""
 
     __slots__ = (
-        "arrived",
+        "arrived_at",
         "attempt_count",
+        "attempts_in_flight",
         "event",
-        "in_flight",
         "may_have_run",
         "outcome",
         "quota",
-        "work",
+        "work_ms",
     )
 
-    def __init__(self, event: ClientRequest, arrived: float, quota: Quota, work: float) -> None:
+    def __init__(self, event: ClientRequest, arrived_at: float, quota: Quota, work_ms: float) -> None:
         """Wait for the final outcome, with no attempt made; `work` in ms of one core."""
         self.event = event
-        self.arrived = arrived
+        self.arrived_at = arrived_at
         self.quota = quota
-        self.work = work
+        self.work_ms = work_ms
         self.outcome: RequestOutcome | None = None
         self.attempt_count = 0
         self.may_have_run = False
-        self.in_flight: list[Attempt] = []
+        self.attempts_in_flight: list[Attempt] = []
 
-    def attempt_began(self, attempt: Attempt) -> None:
+    def add_attempt(self, attempt: Attempt) -> None:
         """Enter the next attempt of the request."""
         self.attempt_count += 1
-        self.in_flight.append(attempt)
+        self.attempts_in_flight.append(attempt)
         self.quota.record_attempt_start()
 
-    def attempt_ended(self, attempt: Attempt) -> None:
+    def remove_attempt(self, attempt: Attempt) -> None:
         """Take an attempt that ended at the limiter off those in flight."""
-        self.in_flight.remove(attempt)
-        self.quota.attempt_ended()
+        self.attempts_in_flight.remove(attempt)
+        self.quota.record_attempt_end()
 
-    def ran(self) -> None:
+    def record_possible_execution(self) -> None:
         """Note that an attempt may have run at its server, so that another one might repeat its effect."""
         self.may_have_run = True
 
-    def end(self, outcome: RequestOutcome) -> None:
+    def set_outcome(self, outcome: RequestOutcome) -> None:
         """Set the one final outcome.
 
         Raises:
@@ -86,7 +86,7 @@
 class Attempt(ServerJob):
     """A request sent to a server: `is_over` if it ended there, `is_ended` if it ended at its limiter."""
 
-    __slots__ = ("_on_reply", "is_ended", "limiter", "number", "request", "sent_at", "server")
+    __slots__ = ("_on_reply", "is_ended_at_limiter", "limiter", "number", "request", "sent_at", "server")
 
     def __init__(
         self,
@@ -97,19 +97,19 @@
         on_reply: Callable[[Attempt, Outcome], None],
     ) -> None:
         """Make the next attempt of the request; `on_reply` takes the server's response."""
-        super().__init__(request.work)
+        super().__init__(request.work_ms)
         self.request = request
         self.number = request.attempt_count
         self.limiter = limiter
         self.server = server
         self.sent_at = sent_at
-        self.is_ended = False
+        self.is_ended_at_limiter = False
         self._on_reply = on_reply
 
-    def end(self) -> None:
+    def end_at_limiter(self) -> None:
         """End at the limiter, which passes over all that the server does from now on."""
-        self.is_ended = True
-        self.request.attempt_ended(self)
+        self.is_ended_at_limiter = True
+        self.request.remove_attempt(self)
 
     def handle_reply(self, outcome: Outcome) -> None:
         """Take the server's response, which leaves the server now."""
@@ -124,10 +124,10 @@
         self._clock = context.clock
         self._tally = context.tally
 
-    def open(self, limiter: RequestOwner, request: Request) -> None:
+    def add_request(self, limiter: RequestOwner, request: Request) -> None:
         """Enter a request that a limiter takes."""
         limiter.requests[request.event.id] = request
-        self._tally.request_opened()
+        self._tally.record_request_opened()
 
     def end_request(self, request: Request, outcome: RequestOutcome) -> None:
         """End a request for its client.
@@ -135,19 +135,21 @@
         Raises:
             AssertionError: it had ended before.
         """
-        request.end(outcome)
-        self._tally.request_closed()
-        self._tally.request_ended(request.arrived, self._clock.now, outcome, request.event.is_retry)
+        request.set_outcome(outcome)
+        self._tally.record_request_closed()
+        self._tally.record_request_outcome(
+            request.arrived_at, self._clock.now, outcome, request.event.is_retry
+        )
 
-    def finish(self, limiter: RequestOwner, request_id: int, outcome: RequestOutcome) -> None:
+    def apply_engine_outcome(self, limiter: RequestOwner, request_id: int, outcome: RequestOutcome) -> None:
         """Carry out the policy engine's final outcome; one for a request that has its outcome is dropped."""
         request = limiter.requests.get(request_id)
         if request is None or request.outcome is not None:
             return
         self.end_request(request, outcome)
-        self.forget_if_over(limiter, request)
+        self.remove_if_over(limiter, request)
 
-    def forget_if_over(self, limiter: RequestOwner, request: Request) -> None:
+    def remove_if_over(self, limiter: RequestOwner, request: Request) -> None:
         """Forget a request that has its outcome and no attempt in flight."""
-        if request.outcome is not None and not request.in_flight:
+        if request.outcome is not None and not request.attempts_in_flight:
             limiter.requests.pop(request.event.id, None)
--- a/scale/hollow/result_lines.py
+++ b/scale/hollow/result_lines.py
@@ -13,7 +13,13 @@
 from scale.hollow.gossip_age import AGE_STEP_MS
 from scale.hollow.plan import Fault
 from scale.hollow.simulation import Simulation
-from scale.hollow.tally import RequestOutcome, mean_and_max_rate, quantiles, ratio, rounded
+from scale.hollow.tally import (
+    RequestOutcome,
+    compute_mean_and_max_rate,
+    compute_quantiles,
+    compute_ratio,
+    round_to_six_digits,
+)
 
 # Names of outcomes in result lines that differ from the enumeration's values of today.
 OUTCOME_RESULT_NAMES = {Outcome.REJECTED: "full", Outcome.REQUEST_ENDED: "moot"}
@@ -104,10 +110,10 @@
     recovery_ms: float | None
 
 
-def summary(simulation: Simulation, gossip: GossipFigures) -> Summary:
+def make_summary(simulation: Simulation, gossip: GossipFigures) -> Summary:
     """Make the line for the whole experiment; `gossip` was taken when the last requests had arrived."""
     experiment = simulation.experiment
-    servers = simulation.servers.servers
+    servers = simulation.server_fleet.servers_by_id
     return {
         "experiment": experiment.name,
         "seed": experiment.seed,
@@ -115,16 +121,16 @@
         "servers": len(servers),
         "customers": len(simulation.customers),
         "duration_ms": experiment.duration,
-        **_request_figures(simulation),
-        **_counter_figures(simulation),
+        **_make_request_figures(simulation),
+        **_make_counter_figures(simulation),
         **gossip,
-        **_gossip_age_figures(simulation),
-        "list_changes": simulation.discovery.changes,
+        **_make_gossip_age_figures(simulation),
+        "list_changes": simulation.discovery.pushed_change_count,
         "servers_fallen": sum(server.crash_count for server in servers.values()),
     }
 
 
-def fault_line(simulation: Simulation, fault: Fault) -> FaultLine:
+def make_fault_line(simulation: Simulation, fault: Fault) -> FaultLine:
     """Make the line for one fault."""
     return {
         "experiment": simulation.experiment.name,
@@ -136,51 +142,51 @@
     }
 
 
-def gossip_figures(simulation: Simulation) -> GossipFigures:
+def make_gossip_figures(simulation: Simulation) -> GossipFigures:
     """Count the messages between limiters so far, by seconds in which requests arrive."""
     seconds = simulation.experiment.duration / 1000
     limiters = simulation.limiter_host.limiters
 
-    def rate(counts: list[int]) -> dict[str, float]:
-        return mean_and_max_rate(counts, seconds)
+    def compute_rate(counts: list[int]) -> dict[str, float]:
+        return compute_mean_and_max_rate(counts, seconds)
 
     return {
-        "tells": simulation.tally.gossip_messages,
-        "messages_sent_per_s": rate([limiter.gossip_sent for limiter in limiters]),
-        "messages_heard_per_s": rate([limiter.gossip_received for limiter in limiters]),
-        "bytes_sent_per_s": rate([limiter.gossip_bytes_sent for limiter in limiters]),
-        "bytes_heard_per_s": rate([limiter.gossip_bytes_received for limiter in limiters]),
+        "tells": simulation.tally.gossip_message_count,
+        "messages_sent_per_s": compute_rate([limiter.gossip_datagrams_sent for limiter in limiters]),
+        "messages_heard_per_s": compute_rate([limiter.gossip_datagrams_received for limiter in limiters]),
+        "bytes_sent_per_s": compute_rate([limiter.gossip_bytes_sent for limiter in limiters]),
+        "bytes_heard_per_s": compute_rate([limiter.gossip_bytes_received for limiter in limiters]),
         "messages_dropped": sum(
-            intake.dropped_datagram_count for intake in simulation.limiter_host.gossip_network.intakes
+            intake.dropped_datagram_count for intake in simulation.limiter_host.gossip_network.receive_limits
         ),
     }
 
 
-def _request_figures(simulation: Simulation) -> RequestFigures:
+def _make_request_figures(simulation: Simulation) -> RequestFigures:
     tally = simulation.tally
-    ended = tally.request_outcomes
+    requests_by_outcome = tally.counts_by_request_outcome
     return {
-        "tries": tally.requests,
-        "retries": tally.retries,
-        "served": ended[RequestOutcome.SERVED],
-        "refused": ended[RequestOutcome.REJECTED],
-        "failed": ended[RequestOutcome.FAILED],
-        "lost": ended[RequestOutcome.KILLED],
-        "unreachable": ended[RequestOutcome.UNREACHABLE],
-        "by_driver": tally.ended_by_driver,
-        "served_share": ratio(ended[RequestOutcome.SERVED], tally.requests),
-        "refused_share": ratio(ended[RequestOutcome.REJECTED], tally.requests),
-        "refused_with_room_share": ratio(tally.rejected_within_quota, tally.requests),
-        "units_sent_on": tally.units,
-        "units_beyond": tally.units_beyond_quota,
-        "beyond_share": ratio(tally.units_beyond_quota, tally.units),
-        "attempts": tally.attempts,
-        "outcomes": _outcome_counts(tally.attempt_outcomes),
-        "latency_ms": _named_quantiles(tally.latencies, MAX_LATENCY_US, 0.001),
+        "tries": tally.request_count,
+        "retries": tally.retry_count,
+        "served": requests_by_outcome[RequestOutcome.SERVED],
+        "refused": requests_by_outcome[RequestOutcome.REJECTED],
+        "failed": requests_by_outcome[RequestOutcome.FAILED],
+        "lost": requests_by_outcome[RequestOutcome.KILLED],
+        "unreachable": requests_by_outcome[RequestOutcome.UNREACHABLE],
+        "by_driver": tally.requests_ended_by_driver,
+        "served_share": compute_ratio(requests_by_outcome[RequestOutcome.SERVED], tally.request_count),
+        "refused_share": compute_ratio(requests_by_outcome[RequestOutcome.REJECTED], tally.request_count),
+        "refused_with_room_share": compute_ratio(tally.requests_rejected_within_quota, tally.request_count),
+        "units_sent_on": tally.forwarded_units,
+        "units_beyond": tally.forwarded_units_beyond_quota,
+        "beyond_share": compute_ratio(tally.forwarded_units_beyond_quota, tally.forwarded_units),
+        "attempts": tally.attempt_count,
+        "outcomes": _make_outcome_counts(tally.counts_by_attempt_outcome),
+        "latency_ms": _compute_named_quantiles(tally.counts_by_latency, MAX_LATENCY_US, 0.001),
     }
 
 
-def _outcome_counts(outcomes: Mapping[Outcome, int]) -> dict[str, int]:
+def _make_outcome_counts(outcomes: Mapping[Outcome, int]) -> dict[str, int]:
     """Return the count of each outcome that occurred, by its name in result lines."""
     return {
         OUTCOME_RESULT_NAMES.get(outcome, outcome.value): count
@@ -189,30 +195,30 @@
     }
 
 
-def _counter_figures(simulation: Simulation) -> CounterFigures:
+def _make_counter_figures(simulation: Simulation) -> CounterFigures:
     counter = simulation.limiter_host.counter
     return {
-        "counter_calls": counter.calls,
+        "counter_calls": counter.call_count,
         "counter_full": counter.rejected_call_count,
-        "counter_unanswered": counter.timed_out_calls,
-        "counter_calls_a_request": ratio(counter.calls, simulation.clients.sent_count),
+        "counter_unanswered": counter.timed_out_call_count,
+        "counter_calls_a_request": compute_ratio(counter.call_count, simulation.clients.sent_request_count),
     }
 
 
-def _gossip_age_figures(simulation: Simulation) -> GossipAgeFigures:
+def _make_gossip_age_figures(simulation: Simulation) -> GossipAgeFigures:
     ages = simulation.gossip_ages
     intake = simulation.experiment.network.gossip_intake_per_second
     interval_ms = 1000 * (simulation.experiment.limiters - 1) / (MAX_INTAKE_FRACTION * intake)
     return {
-        "telling_interval_ms": rounded(interval_ms),
+        "telling_interval_ms": round_to_six_digits(interval_ms),
         "news_pairs": ages.expected_pair_count,
-        "news_age_ms": _named_quantiles(ages.counts_by_age, MAX_AGE_STEPS, AGE_STEP_MS),
-        "news_never_learnt": ratio(
+        "news_age_ms": _compute_named_quantiles(ages.counts_by_age, MAX_AGE_STEPS, AGE_STEP_MS),
+        "news_never_learnt": compute_ratio(
             ages.expected_pair_count - ages.learnt_pair_count, ages.expected_pair_count
         ),
     }
 
 
-def _named_quantiles(counts: dict[int, int], max_value: int, scale: float) -> Quantiles:
-    values = quantiles(counts, max_value, scale, list(QUANTILE_LEVELS.values()))
+def _compute_named_quantiles(counts: dict[int, int], max_value: int, scale: float) -> Quantiles:
+    values = compute_quantiles(counts, max_value, scale, list(QUANTILE_LEVELS.values()))
     return dict(zip(QUANTILE_LEVELS, values, strict=True))
--- a/scale/hollow/server.py
+++ b/scale/hollow/server.py
@@ -17,13 +17,13 @@
 class ServerJob(ABC):
     """A request at a server, from its sending to its end there. The server alone writes its state."""
 
-    __slots__ = ("is_over", "is_started", "work_ms")
+    __slots__ = ("has_started", "is_ended_at_server", "work_ms")
 
     def __init__(self, work_ms: float) -> None:
         """Take `work` ms of one core of a warm server."""
         self.work_ms = work_ms
-        self.is_started = False
-        self.is_over = False
+        self.has_started = False
+        self.is_ended_at_server = False
 
     @abstractmethod
     def handle_reply(self, outcome: Outcome) -> None:
@@ -61,22 +61,22 @@
         self.crash_count = 0
         self._clock = clock
         self._parameters = model.parameters
-        self._mean_work = model.mean_work_ms
+        self._mean_work_ms = model.mean_work_ms
         self._on_crash = on_crash
         self._is_machine_lost = False  # if so, packets to it get no reply, not even a reset
-        self._running_count = 0
+        self._running_job_count = 0
         # Queued jobs; one that was cancelled stays in the queue until its turn comes.
         self._queue: deque[ServerJob] = deque()
-        self._queued_count = 0  # number of queued jobs that were not cancelled
+        self._queued_job_count = 0  # number of queued jobs that were not cancelled
         self._jobs: dict[ServerJob, None] = {}  # running and queued jobs, in order of arrival
         # Times of arrivals within the overload window during slow start, in ms.
         self._recent_arrivals: deque[float] = deque()
 
-    def endpoint(self, state: EndpointState) -> Endpoint:
+    def make_endpoint(self, state: EndpointState) -> Endpoint:
         """The server's entry of the endpoint list."""
         return Endpoint(self.id, state, zone=self.zone, started_at=max(0.0, self.started_at))
 
-    def capacity(self) -> float:
+    def get_capacity_fraction(self) -> float:
         """Present capacity as a share of the full one; during slow start it grows linearly."""
         parameters = self._parameters
         age = self._clock.now - self.started_at
@@ -84,33 +84,33 @@
 
     def receive_job(self, job: ServerJob) -> None:
         """Run, queue or reject a job; one that arrives at a process that is down fails to connect."""
-        if self._is_machine_lost or job.is_over:
+        if self._is_machine_lost or job.is_ended_at_server:
             return
         if not self.is_up:
-            _end(job, Outcome.CONNECT_FAILED)
+            _end_job(job, Outcome.CONNECT_FAILED)
         elif self.is_draining:
-            _end(job, Outcome.REJECTED)
+            _end_job(job, Outcome.REJECTED)
         elif self._is_in_slow_start() and self._is_overloaded():
             self.crash_count += 1
             self.stop()
             self._on_crash(self)
-            _end(job, Outcome.CONNECT_FAILED)
+            _end_job(job, Outcome.CONNECT_FAILED)
         else:
-            self._accept(job)
+            self._accept_job(job)
 
     def remove_job(self, job: ServerJob) -> None:
         """End a job, whether done or cancelled: its core or place in the queue is free at once."""
-        if job.is_over:
+        if job.is_ended_at_server:
             return
-        job.is_over = True
+        job.is_ended_at_server = True
         if job not in self._jobs:
             return
         del self._jobs[job]
-        if not job.is_started:
-            self._queued_count -= 1
+        if not job.has_started:
+            self._queued_job_count -= 1
             return
-        self._running_count -= 1
-        self._start_queued()
+        self._running_job_count -= 1
+        self._start_queued_jobs()
 
     def stop(self, is_machine_lost: bool = False) -> None:
         """End the process, which resets its connections; a lost machine resets none."""
@@ -118,14 +118,14 @@
         self._is_machine_lost = is_machine_lost
         jobs = self._jobs
         self._jobs = {}
-        self._running_count = 0
-        self._queued_count = 0
+        self._running_job_count = 0
+        self._queued_job_count = 0
         self._queue.clear()
         for job in jobs:
             if is_machine_lost:
-                job.is_over = True
+                job.is_ended_at_server = True
             else:
-                _end(job, Outcome.RESET)
+                _end_job(job, Outcome.RESET)
 
     def drain(self) -> None:
         """Take no more requests; those that are running or queued go on."""
@@ -152,40 +152,42 @@
         self._recent_arrivals.append(now)
         while self._recent_arrivals[0] <= now - parameters.slow_start_window:
             self._recent_arrivals.popleft()
-        rate_factor = parameters.slow_start_overload * self.capacity()
-        allowed = rate_factor * parameters.slow_start_window * parameters.cores / self._mean_work
-        return len(self._recent_arrivals) > compute_tolerated_arrivals(allowed)
+        rate_factor = parameters.slow_start_overload * self.get_capacity_fraction()
+        allowed_arrivals = rate_factor * parameters.slow_start_window * parameters.cores / self._mean_work_ms
+        return len(self._recent_arrivals) > compute_tolerated_arrivals(allowed_arrivals)
 
-    def _accept(self, job: ServerJob) -> None:
-        if self._running_count < self._parameters.cores:
+    def _accept_job(self, job: ServerJob) -> None:
+        if self._running_job_count < self._parameters.cores:
             self._jobs[job] = None
-            self._run(job)
-        elif self._queued_count < self._parameters.max_queue_length:
+            self._start_job(job)
+        elif self._queued_job_count < self._parameters.max_queue_length:
             self._jobs[job] = None
             self._queue.append(job)
-            self._queued_count += 1
+            self._queued_job_count += 1
         else:
-            _end(job, Outcome.REJECTED)
+            _end_job(job, Outcome.REJECTED)
 
-    def _run(self, job: ServerJob) -> None:
-        self._running_count += 1
-        job.is_started = True
-        self._clock.call_at(self._clock.now + job.work_ms / self.capacity(), self._finish, job)
+    def _start_job(self, job: ServerJob) -> None:
+        self._running_job_count += 1
+        job.has_started = True
+        self._clock.call_at(
+            self._clock.now + job.work_ms / self.get_capacity_fraction(), self._finish_job, job
+        )
 
-    def _start_queued(self) -> None:
-        while self._queue and self._running_count < self._parameters.cores:
+    def _start_queued_jobs(self) -> None:
+        while self._queue and self._running_job_count < self._parameters.cores:
             job = self._queue.popleft()
-            if not job.is_over:
-                self._queued_count -= 1
-                self._run(job)
+            if not job.is_ended_at_server:
+                self._queued_job_count -= 1
+                self._start_job(job)
 
-    def _finish(self, job: ServerJob) -> None:
-        if not job.is_over:
+    def _finish_job(self, job: ServerJob) -> None:
+        if not job.is_ended_at_server:
             self.remove_job(job)
             job.handle_reply(Outcome.OK)
 
 
-def _end(job: ServerJob, outcome: Outcome) -> None:
+def _end_job(job: ServerJob, outcome: Outcome) -> None:
     """End a job that is not running or queued any more."""
-    job.is_over = True
+    job.is_ended_at_server = True
     job.handle_reply(outcome)
--- a/scale/hollow/servers.py
+++ b/scale/hollow/servers.py
@@ -10,7 +10,7 @@
 from scale.hollow.server import Server, ServerModel
 
 # Delay, in ms, until discovery learns of a change that the fleet of servers itself announces.
-AT_ONCE = (0.0, 0.0)
+NO_DELAY_MS = (0.0, 0.0)
 
 
 class ServerFleet:
@@ -18,7 +18,7 @@
 
     def __init__(self, context: Context, discovery: Discovery) -> None:
         """Start as many as the experiment says, past their slow start and on discovery's list."""
-        self.servers: dict[bytes, Server] = {}
+        self.servers_by_id: dict[bytes, Server] = {}
         self._clock = context.clock
         self._topology = context.network.topology
         self._parameters = context.experiment.servers
@@ -26,54 +26,54 @@
         self._discovery = discovery
         classes = context.experiment.classes
         total_share = sum(request_class.request_share for request_class in classes)
-        total_work = sum(
+        weighted_work_ms = sum(
             request_class.request_share * request_class.mean_work_ms for request_class in classes
         )
-        self._model = ServerModel(self._parameters, total_work / total_share)
+        self._model = ServerModel(self._parameters, weighted_work_ms / total_share)
         for _ in range(max(1, round(self._parameters.servers_per_limiter * context.experiment.limiters))):
-            server = self._add()
-            discovery.endpoints[server.id] = server.endpoint(EndpointState.READY)
+            server = self._add_server()
+            discovery.endpoints[server.id] = server.make_endpoint(EndpointState.READY)
 
-    def running(self) -> list[Server]:
+    def list_running_servers(self) -> list[Server]:
         """Servers whose process runs, those that drain too."""
-        return [server for server in self.servers.values() if server.is_up]
+        return [server for server in self.servers_by_id.values() if server.is_up]
 
-    def stop(self, servers: Iterable[Server], down: float, is_machine_lost: bool) -> None:
+    def stop_servers(self, servers: Iterable[Server], downtime: float, is_machine_lost: bool) -> None:
         """Stop servers; each starts again after `down` ms. A lost machine resets no connection."""
         stopped = list(servers)
         for server in stopped:
             server.stop(is_machine_lost)
-            self._clock.call_at(self._clock.now + down, self._restart, server)
-        ended = [server.endpoint(EndpointState.GONE) for server in stopped]
+            self._clock.call_at(self._clock.now + downtime, self._restart_server, server)
+        ended = [server.make_endpoint(EndpointState.GONE) for server in stopped]
         self._discovery.report_changes(ended, self._delays.stop_detection_delay)
 
-    def drain(self, server: Server, duration: float) -> None:
+    def drain_server(self, server: Server, duration: float) -> None:
         """Drain a server; after `duration` ms a new one takes its place."""
         server.drain()
-        self._discovery.report_changes([server.endpoint(EndpointState.DRAINING)], AT_ONCE)
-        self._clock.call_at(self._clock.now + duration, self._replace, server)
+        self._discovery.report_changes([server.make_endpoint(EndpointState.DRAINING)], NO_DELAY_MS)
+        self._clock.call_at(self._clock.now + duration, self._replace_server, server)
 
-    def _add(self) -> Server:
-        number = len(self.servers)
-        zone = self._topology.zone(number)
-        server = Server(self._clock, self._model, number, zone, self._crashed)
-        self.servers[server.id] = server
+    def _add_server(self) -> Server:
+        number = len(self.servers_by_id)
+        zone = self._topology.get_zone(number)
+        server = Server(self._clock, self._model, number, zone, self._report_crash)
+        self.servers_by_id[server.id] = server
         return server
 
-    def _crashed(self, server: Server) -> None:
+    def _report_crash(self, server: Server) -> None:
         self._discovery.report_changes(
-            [server.endpoint(EndpointState.GONE)], self._delays.stop_detection_delay
+            [server.make_endpoint(EndpointState.GONE)], self._delays.stop_detection_delay
         )
 
-    def _restart(self, server: Server) -> None:
+    def _restart_server(self, server: Server) -> None:
         server.start()
         self._discovery.report_changes(
-            [server.endpoint(EndpointState.READY)], self._delays.start_detection_delay
+            [server.make_endpoint(EndpointState.READY)], self._delays.start_detection_delay
         )
 
-    def _replace(self, server: Server) -> None:
+    def _replace_server(self, server: Server) -> None:
         if not server.is_up:
             return
         server.stop()
-        self._discovery.report_changes([server.endpoint(EndpointState.GONE)], AT_ONCE)
-        self._restart(self._add())
+        self._discovery.report_changes([server.make_endpoint(EndpointState.GONE)], NO_DELAY_MS)
+        self._restart_server(self._add_server())
--- a/scale/hollow/simulation.py
+++ b/scale/hollow/simulation.py
@@ -31,16 +31,16 @@
         self.gossip_ages = context.gossip_ages
         self.request_tracker = RequestTracker(context)
         self.discovery = Discovery(self.clock, experiment)
-        self.servers = ServerFleet(context, self.discovery)
-        attempts = AttemptDriver(context, self.servers.servers, self.request_tracker)
-        self.limiter_host = LimiterHost(context, self.request_tracker, self.discovery, attempts)
-        self.clients = Clients(context, arrivals, self.limiter_host, attempts, self.request_tracker)
-        self.limiter_host.handle_rejections(self.clients)
+        self.server_fleet = ServerFleet(context, self.discovery)
+        attempt_driver = AttemptDriver(context, self.server_fleet.servers_by_id, self.request_tracker)
+        self.limiter_host = LimiterHost(context, self.request_tracker, self.discovery, attempt_driver)
+        self.clients = Clients(context, arrivals, self.limiter_host, attempt_driver, self.request_tracker)
+        self.limiter_host.set_rejection_handler(self.clients)
         for limiter in self.limiter_host.limiters:
             start_at = context.rng.uniform(*experiment.start_delay)
-            self.clock.call_at(start_at, self.limiter_host.start, limiter)
+            self.clock.call_at(start_at, self.limiter_host.start_limiter, limiter)
         self.clients.start()
-        FaultInjector(context, self.limiter_host, self.servers, self.discovery).start()
+        FaultInjector(context, self.limiter_host, self.server_fleet, self.discovery).start()
 
     def run(self, until: float) -> None:
         """Let everything happen up to that time, in ms."""
--- a/scale/hollow/slow_start.py
+++ b/scale/hollow/slow_start.py
@@ -5,23 +5,23 @@
 import math
 
 
-def compute_capacity_fraction(age_ms: float, duration_ms: float, initial_capacity: float) -> float:
+def compute_capacity_fraction(age_ms: float, duration_ms: float, initial_fraction: float) -> float:
     """Compute a server's present capacity as a share of its full one.
 
     Args:
         age_ms: time since the server started.
         duration_ms: length of the slow start, during which the capacity grows linearly.
-        initial_capacity: share that the server has at its start.
+        initial_fraction: share that the server has at its start.
     """
     if age_ms >= duration_ms:
         return 1.0
-    return initial_capacity + (1 - initial_capacity) * age_ms / duration_ms
+    return initial_fraction + (1 - initial_fraction) * age_ms / duration_ms
 
 
-def compute_tolerated_arrivals(expected: float) -> float:
+def compute_tolerated_arrivals(expected_arrivals: float) -> float:
     """Number of arrivals in a window that a server in slow start tolerates, where `expected` are allowed.
 
     Arrivals that are random vary by the square root of their expected number; two of these deviations and
     another two arrivals are tolerated.
     """
-    return expected + 2 * math.sqrt(expected) + 2
+    return expected_arrivals + 2 * math.sqrt(expected_arrivals) + 2
--- a/scale/hollow/tally.py
+++ b/scale/hollow/tally.py
@@ -13,7 +13,7 @@
 from scale.hollow.plan import HollowExperiment
 
 # Width of the bins in which units beyond quotas are counted over time.
-BIN_MS = 1000.0
+BIN_WIDTH_MS = 1000.0
 # A window counts as recovered if it has at most this multiple of the units of the windows before the fault.
 RECOVERED_RATIO = 1.5
 
@@ -41,79 +41,81 @@
 
     def __init__(self, experiment: HollowExperiment) -> None:
         """Set all counts to 0; the experiment gives the warm-up, the duration and the window."""
-        self.requests = 0
-        self.retries = 0  # requests that are retries
-        self.attempts = 0
-        self.gossip_messages = 0
-        self.open_requests = 0
-        self.ended_by_driver = 0
-        self.request_outcomes = dict.fromkeys(RequestOutcome, 0)
-        self.ended_requests = 0
-        self.rejected_within_quota = 0
-        self.units = 0.0  # units forwarded
-        self.units_beyond_quota = 0.0  # units forwarded although their quota was used up
+        self.request_count = 0
+        self.retry_count = 0  # requests that are retries
+        self.attempt_count = 0
+        self.gossip_message_count = 0
+        self.open_request_count = 0
+        self.requests_ended_by_driver = 0
+        self.counts_by_request_outcome = dict.fromkeys(RequestOutcome, 0)
+        self.ended_request_count = 0
+        self.requests_rejected_within_quota = 0
+        self.forwarded_units = 0.0  # units forwarded
+        self.forwarded_units_beyond_quota = 0.0  # units forwarded although their quota was used up
         # Units beyond quotas, by the bin of time in which they were forwarded.
-        self.units_beyond_quota_by_bin = [0.0] * (math.ceil(experiment.duration / BIN_MS) + 1)
+        self.units_beyond_quota_by_bin = [0.0] * (math.ceil(experiment.duration / BIN_WIDTH_MS) + 1)
         # How often each latency occurred, by latency in us.
-        self.latencies: dict[int, int] = {}
-        self.attempt_outcomes = dict.fromkeys(Outcome, 0)
-        self._warm_up = experiment.warm_up
-        self._duration = experiment.duration
-        self._window = experiment.recovery_window
+        self.counts_by_latency: dict[int, int] = {}
+        self.counts_by_attempt_outcome = dict.fromkeys(Outcome, 0)
+        self._warm_up_ms = experiment.warm_up
+        self._duration_ms = experiment.duration
+        self._window_ms = experiment.recovery_window
 
-    def request_arrived(self, now: float) -> None:
+    def record_request_sent(self, now: float) -> None:
         """A client sends a request now."""
-        self.requests += now >= self._warm_up
+        self.request_count += now >= self._warm_up_ms
 
-    def request_opened(self) -> None:
+    def record_request_opened(self) -> None:
         """A limiter takes a request."""
-        self.open_requests += 1
+        self.open_request_count += 1
 
-    def request_closed(self) -> None:
+    def record_request_closed(self) -> None:
         """A request that a limiter took has its final outcome."""
-        self.open_requests -= 1
+        self.open_request_count -= 1
 
-    def driver_ended_request(self) -> None:
+    def record_request_ended_by_driver(self) -> None:
         """A limiter's driver ends a request at its deadline, before the policy engine did."""
-        self.ended_by_driver += 1
+        self.requests_ended_by_driver += 1
 
-    def gossip_sent(self) -> None:
+    def record_gossip_message(self) -> None:
         """A limiter sends a message to all others."""
-        self.gossip_messages += 1
+        self.gossip_message_count += 1
 
-    def attempt_sent(self) -> None:
+    def record_attempt_sent(self) -> None:
         """A limiter sends an attempt to a server."""
-        self.attempts += 1
+        self.attempt_count += 1
 
-    def request_ended(self, arrived: float, now: float, outcome: RequestOutcome, is_retry: bool) -> None:
+    def record_request_outcome(
+        self, arrived_at: float, now: float, outcome: RequestOutcome, is_retry: bool
+    ) -> None:
         """A request that arrived at `arrived` ends with that outcome now."""
-        self.ended_requests += 1
-        if arrived < self._warm_up:
+        self.ended_request_count += 1
+        if arrived_at < self._warm_up_ms:
             return
-        self.retries += is_retry
-        self.request_outcomes[outcome] += 1
+        self.retry_count += is_retry
+        self.counts_by_request_outcome[outcome] += 1
         if outcome is RequestOutcome.SERVED:
-            latency = round(1000 * (now - arrived))
-            self.latencies[latency] = self.latencies.get(latency, 0) + 1
+            latency = round(1000 * (now - arrived_at))
+            self.counts_by_latency[latency] = self.counts_by_latency.get(latency, 0) + 1
 
-    def request_rejected_within_quota(self, arrived: float) -> None:
+    def record_rejection_within_quota(self, arrived_at: float) -> None:
         """A request is rejected, never forwarded, while half its customer's quota is free."""
-        self.rejected_within_quota += arrived >= self._warm_up
+        self.requests_rejected_within_quota += arrived_at >= self._warm_up_ms
 
-    def units_forwarded(self, now: float, units: float, is_within_quota: bool) -> None:
+    def record_forwarded_units(self, now: float, units: float, is_within_quota: bool) -> None:
         """A request is forwarded for the first time."""
-        if now < self._warm_up:
+        if now < self._warm_up_ms:
             return
-        self.units += units
+        self.forwarded_units += units
         if is_within_quota:
             return
-        self.units_beyond_quota += units
-        if now < self._duration:
-            self.units_beyond_quota_by_bin[int(now / BIN_MS)] += units
+        self.forwarded_units_beyond_quota += units
+        if now < self._duration_ms:
+            self.units_beyond_quota_by_bin[int(now / BIN_WIDTH_MS)] += units
 
-    def attempt_ended(self, outcome: Outcome) -> None:
+    def record_attempt_outcome(self, outcome: Outcome) -> None:
         """A limiter learns how an attempt ended."""
-        self.attempt_outcomes[outcome] += 1
+        self.counts_by_attempt_outcome[outcome] += 1
 
     def measure_recovery(self, fault_at: float) -> Recovery:
         """Measure how long after a fault units beyond quotas are back at their level for good.
@@ -123,50 +125,53 @@
         RECOVERED_RATIO times that level. The recovery takes 0 ms if no window had more, and is None if the
         last one still has more.
         """
-        width = max(1, round(self._window / BIN_MS))  # bins in a window
-        bin_count = int(self._duration / BIN_MS)
-        sums = {
-            end: sum(self.units_beyond_quota_by_bin[end - width : end]) for end in range(width, bin_count + 1)
+        window_bin_count = max(1, round(self._window_ms / BIN_WIDTH_MS))  # bins in a window
+        bin_count = int(self._duration_ms / BIN_WIDTH_MS)
+        units_by_window_end = {
+            end: sum(self.units_beyond_quota_by_bin[end - window_bin_count : end])
+            for end in range(window_bin_count, bin_count + 1)
         }
-        fault_bin = fault_at / BIN_MS
-        first_end = math.ceil(self._warm_up / BIN_MS) + width
+        fault_bin = fault_at / BIN_WIDTH_MS
+        first_end = math.ceil(self._warm_up_ms / BIN_WIDTH_MS) + window_bin_count
         before = [
             total
-            for end, total in sums.items()
-            if first_end <= end <= fault_bin and end > fault_bin - 2 * width - 1
+            for end, total in units_by_window_end.items()
+            if first_end <= end <= fault_bin and end > fault_bin - 2 * window_bin_count - 1
         ]
-        after = {end: total for end, total in sums.items() if end > fault_bin}
+        after = {end: total for end, total in units_by_window_end.items() if end > fault_bin}
         if not before or not after:
             return {"before": None, "worst": None, "recovery_ms": None}
-        level = sum(before) / len(before)
+        mean_units_before = sum(before) / len(before)
         return {
-            "before": rounded(level),
-            "worst": rounded(max(after.values())),
-            "recovery_ms": _recovery_ms(after, RECOVERED_RATIO * level, fault_at),
+            "before": round_to_six_digits(mean_units_before),
+            "worst": round_to_six_digits(max(after.values())),
+            "recovery_ms": _compute_recovery_ms(after, RECOVERED_RATIO * mean_units_before, fault_at),
         }
 
 
-def _recovery_ms(sums: dict[int, float], limit: float, fault_at: float) -> float | None:
+def _compute_recovery_ms(
+    units_by_window_end: dict[int, float], max_recovered_units: float, fault_at: float
+) -> float | None:
     """Time from the fault to the end of the last window above the limit; None if that is the last of all."""
-    exceeding = [end for end, total in sums.items() if total > limit]
-    if not exceeding:
+    ends_above_limit = [end for end, total in units_by_window_end.items() if total > max_recovered_units]
+    if not ends_above_limit:
         return 0.0
-    if exceeding[-1] == max(sums):
+    if ends_above_limit[-1] == max(units_by_window_end):
         return None
-    return max(0.0, (exceeding[-1] + 1) * BIN_MS - fault_at)
+    return max(0.0, (ends_above_limit[-1] + 1) * BIN_WIDTH_MS - fault_at)
 
 
-def rounded(value: float) -> float:
+def round_to_six_digits(value: float) -> float:
     """Round to six significant digits, so that a figure is the same on every machine."""
     return float(f"{value:.6g}")
 
 
-def ratio(part: float, total: float) -> float | None:
+def compute_ratio(part: float, total: float) -> float | None:
     """Return the rounded share of a part in the total; None if the total is 0."""
-    return rounded(part / total) if total else None
+    return round_to_six_digits(part / total) if total else None
 
 
-def quantiles(
+def compute_quantiles(
     counts: dict[int, int], max_value: int, scale: float, levels: Sequence[float]
 ) -> list[float | None]:
     """Compute quantiles by an HDR histogram of three significant digits.
@@ -182,10 +187,12 @@
     histogram = HdrHistogram(1, max_value, 3)
     for value, count in sorted(counts.items()):
         histogram.record_value(min(max_value, max(1, value)), count)
-    return [rounded(scale * float(histogram.get_value_at_percentile(100 * level))) for level in levels]
+    return [
+        round_to_six_digits(scale * float(histogram.get_value_at_percentile(100 * level))) for level in levels
+    ]
 
 
-def mean_and_max_rate(counts: Sequence[float], seconds: float) -> dict[str, float]:
+def compute_mean_and_max_rate(counts: Sequence[float], seconds: float) -> dict[str, float]:
     """Mean and maximum, over limiters, of what each counted in a second."""
     rates = [count / seconds for count in counts]
-    return {"mean": rounded(sum(rates) / len(rates)), "max": rounded(max(rates))}
+    return {"mean": round_to_six_digits(sum(rates) / len(rates)), "max": round_to_six_digits(max(rates))}
