--- a/scale/hollow/__init__.py
+++ b/scale/hollow/__init__.py
@@ -1,23 +1,23 @@
-"""Many policy engines in one process and on one virtual clock, among simulated peers.
+"""Hollow experiments: many policy engines run in one process, on one virtual clock, with simulated peers.
 
-What is real: `limiter.policy.engine.PolicyEngine`, one for each limiter, its events and its actions. The
-driver around it does what limiter/transport/driver does. What is modelled: the network, gossip between
-limiters, counter, discovery, servers, and customers with quotas; connections are free and never wait.
-What is left out: handshakes, load reports, health checks, processor time, and errors of servers.
+Real: one `limiter.policy.engine.PolicyEngine` per limiter, with its events and actions. The code around it
+does what the driver in limiter/transport/driver does. Simulated: the network, gossip between limiters, the
+counter, discovery, the servers, and customers with quotas. Connections cost nothing, and requests never wait
+for one. Not simulated: handshakes, load reports, health checks, processor time, and servers' error responses.
 
-| module | what it owns |
+| module | contents |
 | --- | --- |
-| `plan` | the keys of the experiment's file |
-| `simulation`, `context` | the parts of one experiment, put together; what all of them share |
-| `limiters` | the policy engines: events are fed to them, their actions carried out |
-| `customers`, `quota` | customers and their first requests, drawn ahead; the true state of their quotas |
-| `clients`, `requests`, `attempts` | requests and retries, their one final outcome, attempts on servers |
-| `faults` | what an experiment stops, and when it is back |
-| `clock` | the virtual clock, which the simulations of tests/support use too |
+| `plan` | the keys of the experiment file |
+| `simulation`, `context` | the assembly of one experiment, and the objects that its parts share |
+| `limiters` | the limiters, which pass events to their policy engines and execute the actions |
+| `customers`, `quota` | customers, their first requests, and the true state of their quotas |
+| `clients`, `requests`, `attempts` | requests and retries, their final outcomes, and attempts at servers |
+| `faults` | the injection of faults, and the restoration afterwards |
+| `clock` | the virtual clock, also used by the simulations in tests/support |
 | `network`, `counter`, `discovery`, `server`, `servers` | the simulated peers |
-| `slow_start` | capacity of a server during slow start, which the simulations of tests/support use too |
-| `tally`, `gossip_age` | what is counted, and the age of gossip |
-| `run`, `result_lines` | running an experiment, and its result lines |
+| `slow_start` | the capacity of a server during slow start, also used by the simulations in tests/support |
+| `tally`, `gossip_age` | the counts of a run, and the age of gossip |
+| `run`, `result_lines` | the run of an experiment, and its result lines |
 
-One seed gives the same figures, byte for byte, wherever the pinned packages run.
+The same seed gives the same results, byte for byte, on every machine that has the pinned packages.
 """
--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts on servers: sent for a limiter, and ended exactly once at it."""
+"""Attempts: sent from a limiter to a server, and ended exactly once at the limiter."""
 
 from __future__ import annotations
 
@@ -6,25 +6,32 @@
 
 from limiter.model.actions import SendAttempt
 from limiter.model.events import NOT_EXECUTED_OUTCOMES, AttemptEnded, Outcome
-from scale.hollow.context import Context
+from scale.hollow.context import SimulationContext
 from scale.hollow.requests import Attempt, Request, RequestOwner, RequestTracker
 from scale.hollow.server import Server
 from scale.hollow.tally import RequestOutcome
 
-# Time before a request's deadline in which no attempt times out by itself: the deadline ends it.
+# An attempt that would time out less than this before the request's deadline gets no timeout of its own,
+# because the deadline ends it.
 TIMEOUT_MARGIN_MS = 0.5
 
 
 class AttemptDriver:
-    """Sends attempts, carries servers' responses back, and reports to limiters how attempts ended."""
+    """Sends attempts to servers, returns the responses, and reports the outcomes to the policy engines."""
 
     def __init__(
         self,
-        context: Context,
+        context: SimulationContext,
         servers_by_id: Mapping[bytes, Server],
         request_tracker: RequestTracker,
     ) -> None:
-        """Take the servers by id, and the ledger of the requests that attempts are made for."""
+        """Create a driver for all limiters.
+
+        Args:
+            context: The objects that all parts of the simulation share.
+            servers_by_id: All servers, including those that are added later.
+            request_tracker: Records the outcomes of the requests.
+        """
         self._clock = context.clock
         self._network = context.network
         self._tally = context.tally
@@ -34,7 +41,11 @@
         self._request_tracker = request_tracker
 
     def send_attempt(self, limiter: RequestOwner, action: SendAttempt) -> None:
-        """Carry out SendAttempt; one for a request that is over ends at once with REQUEST_OVER."""
+        """Execute SendAttempt.
+
+        The attempt ends at once with REQUEST_ENDED if the request has its final outcome, has no time left or
+        has used up its attempts.
+        """
         request = limiter.requests.get(action.request_id)
         if request is None:
             return
@@ -58,13 +69,13 @@
             self._clock.call_at(now + timeout, self.end_attempt, attempt, Outcome.TIMEOUT)
 
     def cancel_attempt(self, request: Request, number: int) -> None:
-        """Carry out CancelAttempt: the attempt ends at once; nothing if it has ended."""
+        """Execute CancelAttempt: end the attempt at once, unless it has already ended."""
         for attempt in request.attempts_in_flight:
             if attempt.number == number:
                 self._clock.call_at(self._clock.now, self.end_attempt, attempt, Outcome.CANCELLED)
 
     def end_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt at its limiter and notify its policy engine; nothing if it has ended."""
+        """End an attempt at its limiter and notify the policy engine, unless it has already ended."""
         if attempt.is_ended_at_limiter:
             return
         self.release_attempt(attempt)
@@ -86,20 +97,20 @@
         self._request_tracker.remove_if_over(attempt.limiter, request)
 
     def release_attempt(self, attempt: Attempt) -> None:
-        """Take an attempt off its limiter; a server that still works on it is notified."""
+        """End an attempt at its limiter without an event; a server that still has it is told to drop it."""
         attempt.end_at_limiter()
         if not attempt.is_ended_at_server:
             server = attempt.server
             self._network.call_after_delay(attempt.limiter.zone, server.zone, server.remove_job, attempt)
 
     def _send_reply_to_limiter(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Send a server's response to the limiter."""
+        """Send a server's response to the limiter, which receives it after the network delay."""
         self._network.call_after_delay(
             attempt.limiter.zone, attempt.server.zone, self.end_attempt, attempt, outcome
         )
 
     def _record_forwarded_request(self, attempt: Attempt) -> None:
-        """Count a request's units when it is forwarded for the first time."""
+        """Record the units of a request that is forwarded for the first time."""
         request = attempt.request
         now = self._clock.now
         units = request.event.units
--- a/scale/hollow/clients.py
+++ b/scale/hollow/clients.py
@@ -1,4 +1,4 @@
-"""Clients: they send requests and retries through limiters of their customer's set, and give up in time."""
+"""Clients, which send requests and retries to the limiters of their customer's set, with a deadline each."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from limiter.model.events import ClientDisconnected, ClientRequest, Outcome
 from scale.hollow.attempts import AttemptDriver
-from scale.hollow.context import Context
+from scale.hollow.context import SimulationContext
 from scale.hollow.customers import Arrivals, Customer
 from scale.hollow.limiters import Limiter, LimiterHost
 from scale.hollow.requests import Request, RequestTracker
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """A request that a client is going to send."""
+    """A request that a client will send."""
 
     customer: int
-    limiter_number: int  # number of the limiter to send it to, unless that one is known to be down
+    limiter_number: int  # number of the limiter to send it to, unless clients know that it is down
     request_class: int
     work_ms: float  # ms of one core
     client_timeout: float  # ms
@@ -28,18 +28,18 @@
 
 
 class Clients:
-    """Sends the drawn requests, retries rejected ones and ends requests at their deadlines."""
+    """Sends the requests drawn before the run, retries rejected ones and ends requests at their deadlines."""
 
     def __init__(
         self,
-        context: Context,
+        context: SimulationContext,
         arrivals: Arrivals,
         limiter_host: LimiterHost,
         attempt_driver: AttemptDriver,
         request_tracker: RequestTracker,
     ) -> None:
-        """Send nothing until `start`."""
-        # All requests so far, also those of the warm-up and those that reached no limiter.
+        """Create the clients; they send nothing until `start` is called."""
+        # All requests so far, including those of the warm-up and those that reached no limiter.
         self.sent_request_count = 0
         self._client_parameters = context.experiment.clients
         self._classes = context.experiment.classes
@@ -61,7 +61,7 @@
             self._clock.call_at(self._arrivals.times[0], self._send_next_arrival)
 
     def handle_rejection(self, limiter: Limiter, request_id: int) -> None:
-        """Carry out RejectRequest; the client of a first request may retry."""
+        """Execute RejectRequest; if the request is not a retry itself, its client may retry it."""
         request = limiter.requests.get(request_id)
         if request is None or request.outcome is not None:
             return
@@ -72,7 +72,7 @@
             self._schedule_retry(limiter, request)
 
     def _send_next_arrival(self) -> None:
-        """Send the next drawn request, and schedule the one after it."""
+        """Send the next request drawn before the run, and schedule the one after it."""
         arrivals = self._arrivals
         index = self._next_arrival
         self._next_arrival += 1
@@ -115,7 +115,11 @@
         limiter.process_event(event)
 
     def _choose_limiter(self, customer: Customer, number: int) -> Limiter:
-        """Return that limiter, or one of the customer's set that is up if it is known to be down."""
+        """Return the limiter with that number, or another one if clients know that it is down.
+
+        Clients learn of it `failover_delay` after the limiter went down. The replacement is drawn from the
+        limiters of the customer's set that are up. If none is up, the limiter with that number is returned.
+        """
         limiters = self._limiter_host.limiters
         limiter = limiters[number]
         if (
@@ -148,9 +152,9 @@
         self._clock.call_at(self._clock.now + delay, self._send_request, retry)
 
     def _end_at_deadline(self, limiter: Limiter, incarnation: int, request: Request) -> None:
-        """End a request at its deadline: attempts time out.
+        """Time out the attempts of a request at its deadline.
 
-        The driver ends the request if the policy engine did not.
+        If the policy engine does not give the request a final outcome then, the driver ends it.
         """
         if limiter.incarnation != incarnation or request.event.id not in limiter.requests:
             return
--- a/scale/hollow/clock.py
+++ b/scale/hollow/clock.py
@@ -1,4 +1,4 @@
-"""The virtual clock, in ms: callbacks that are due together run in the order of their scheduling."""
+"""The virtual clock, in ms. Callbacks that are due at the same time run in the order of their scheduling."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class VirtualClock:
-    """Runs callbacks at virtual times; nothing waits for real time."""
+    """Runs callbacks in order of virtual time, without waiting for real time."""
 
     def __init__(self, start: float = 0.0) -> None:
-        """Start at a time in ms, with nothing scheduled."""
+        """Set the clock to `start`, in ms, with nothing scheduled."""
         self.now = start
-        self.run_end = math.inf  # ms; time at which the present `run` ends
-        # By time, then by the order of scheduling: callbacks and their arguments.
+        self.run_end = math.inf  # ms; the time up to which the current call of `run` runs
+        # Heap of (time, number in order of scheduling, callback, arguments).
         self.scheduled_callbacks: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._scheduled_count = 0
 
@@ -28,7 +28,7 @@
         heappush(self.scheduled_callbacks, (time, self._scheduled_count, callback, args))
 
     def run(self, until: float) -> None:
-        """Run what is due up to and including `until`, in ms; the clock stands there afterwards."""
+        """Run the callbacks that are due up to and including `until`, in ms, and set the clock to `until`."""
         self.run_end = until
         scheduled_callbacks = self.scheduled_callbacks
         while scheduled_callbacks and scheduled_callbacks[0][0] <= until:
@@ -38,7 +38,11 @@
 
 
 class FanOut(Generic[ItemT]):
-    """Delivers one item to many receivers, each at its own time, with one entry of the queue at a time."""
+    """Delivers one item to many receivers, each at its own time.
+
+    Only the next delivery is scheduled on the clock, so that a delivery to many receivers takes one entry of
+    the clock's heap at a time.
+    """
 
     def __init__(
         self,
@@ -47,7 +51,7 @@
         deliver: Callable[[int, ItemT], None],
         item: ItemT,
     ) -> None:
-        """Schedule `deliver(receiver, item)` for all `deliveries`: (time, receiver) in order of time."""
+        """Schedule `deliver(receiver, item)` for each (time, receiver) in `deliveries`, sorted by time."""
         self._clock = clock
         self._deliveries = iter(deliveries)
         self._deliver = deliver
@@ -57,7 +61,10 @@
             clock.call_at(self._next_delivery[0], self._deliver_due_items)
 
     def _deliver_due_items(self) -> None:
-        """Deliver up to the next other entry of the queue, or up to the end of the clock's run."""
+        """Deliver the item until another callback is due first or the clock's run ends.
+
+        The next delivery after that is scheduled on the clock.
+        """
         clock = self._clock
         scheduled_callbacks = clock.scheduled_callbacks
         while self._next_delivery is not None:
--- a/scale/hollow/context.py
+++ b/scale/hollow/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the simulation share."""
+"""The objects that all parts of a simulation share."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from scale.hollow.tally import Tally
 
 
-class Context:
-    """The experiment, its clock and network, the customers, and what is counted of them."""
+class SimulationContext:
+    """The experiment, its clock, network and customers, and the counts of the run."""
 
     def __init__(self, experiment: HollowExperiment, customers: list[Customer]) -> None:
-        """Set the clock to 0; nothing is scheduled or counted yet."""
+        """Create the shared objects; the clock is at 0, and nothing is scheduled or counted."""
         self.experiment = experiment
         self.customers = customers
         self.clock = VirtualClock()
         self.network = Network(self.clock, experiment)
-        # One stream for limiters, clients and faults: the order of their draws is part of the figures, and so
-        # is the stream's name.
+        # Limiters, clients and faults share one random generator. The results depend on the order in which
+        # they draw from it and on the text that seeds it.
         self.rng = Random(f"{experiment.seed}:rig")
         self.tally = Tally(experiment)
         gossip_age_end = experiment.duration - experiment.gossip_age_tail
--- a/scale/hollow/counter.py
+++ b/scale/hollow/counter.py
@@ -1,4 +1,4 @@
-"""Simulation of the shared counter: totals by key, served in order of arrival at a limited rate."""
+"""Simulation of the shared counter: totals by key, and calls served in order of arrival at a limited rate."""
 
 from __future__ import annotations
 
@@ -12,22 +12,25 @@
 from scale.hollow.network import Network
 from scale.hollow.plan import CounterParameters
 
-# Takes the outcome of a call and the counter's total, which is 0 unless the outcome is OK.
+# Is called with the outcome of a call and the total of its key, which is 0 unless the outcome is OK.
 ReplyCallback = Callable[[Outcome, float], None]
 
 
 class CounterTotal(NamedTuple):
-    """Sum of the amounts added to a key, until it expires."""
+    """Sum of the units added to a key since the key was created; it is discarded when the key expires."""
 
     units: float
     expires_at: float  # ms
 
 
 class SharedCounter:
-    """Serves calls one by one, also those whose caller has timed out; rejects calls beyond its queue."""
+    """Serves calls one at a time and rejects calls that find the queue full.
+
+    Calls that have timed out at the caller are served all the same.
+    """
 
     def __init__(self, network: Network, parameters: CounterParameters, seed: int) -> None:
-        """Stand in the first zone of the region that the parameters name."""
+        """Create a counter in the first zone of the region that the parameters state."""
         self.totals_by_key: dict[int, CounterTotal] = {}
         self.call_count = 0
         self.rejected_call_count = 0
@@ -44,7 +47,7 @@
         self._idle_at = 0.0
 
     def add(self, zone: int, call: IncrementCounter, on_reply: ReplyCallback) -> None:
-        """Call from that zone; `on_reply` is called exactly once, at the time-out at the latest."""
+        """Make a call from a zone. `on_reply` is called exactly once, at the call's timeout at the latest."""
         self.call_count += 1
         called_at = self._clock.now
         delay = self._network.draw_delay(zone, self._zone)
@@ -54,11 +57,11 @@
             self._clock.call_at(called_at + delay, self._handle_call, zone, call, on_reply, called_at)
 
     def begin_outage(self) -> None:
-        """Begin an outage: calls time out until `restore`."""
+        """Begin an outage: calls time out until `end_outage`."""
         self.is_down = True
 
     def end_outage(self) -> None:
-        """End an outage; totals were kept."""
+        """End an outage. Totals are kept during an outage."""
         self.is_down = False
 
     def _handle_call(
@@ -71,18 +74,18 @@
             return
         outcome = Outcome.REJECTED
         total = 0.0
-        done_at = now
+        replied_at = now
         if (self._idle_at - now) / self._service_time_ms < self._parameters.max_queue_length:
             outcome = Outcome.OK
             total = self._add_to_total(now, call)
             self._idle_at = max(now, self._idle_at) + self._service_time_ms
-            done_at = self._idle_at + self._rng.uniform(*self._parameters.latency)
+            replied_at = self._idle_at + self._rng.uniform(*self._parameters.latency)
         else:
             self.rejected_call_count += 1
-        if done_at + delay > called_at + self._parameters.timeout:
+        if replied_at + delay > called_at + self._parameters.timeout:
             self._schedule_timeout(called_at, on_reply)
         else:
-            self._clock.call_at(done_at + delay, on_reply, outcome, total)
+            self._clock.call_at(replied_at + delay, on_reply, outcome, total)
 
     def _add_to_total(self, now: float, call: IncrementCounter) -> float:
         total = self.totals_by_key.get(call.key)
--- a/scale/hollow/customers.py
+++ b/scale/hollow/customers.py
@@ -1,4 +1,4 @@
-"""Customers, and all their first requests, drawn before the run."""
+"""Customers and all their first requests, which are drawn before the run."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclass(slots=True)
 class Customer:
-    """A customer and its set of limiters: consecutive numbers, modulo the number of limiters."""
+    """A customer and its set of limiters, whose numbers are consecutive modulo the number of limiters."""
 
     plan: int
     limiter_set_start: int
     limiter_set_size: int
     quota: Quota
-    used_limiters: frozenset[int] = frozenset()  # limiters that its first requests come in through
+    used_limiters: frozenset[int] = frozenset()  # limiters that its first requests are sent to
 
 
 @dataclass(slots=True)
 class Arrivals:
-    """First requests in order of time; each list has one entry for each request."""
+    """All first requests in order of time. Each list has one entry per request."""
 
     times: list[float]
     customers: list[int]
@@ -38,7 +38,7 @@
 
 
 def draw_customers(experiment: HollowExperiment) -> tuple[list[Customer], Arrivals]:
-    """Draw customers, plan by plan, until each plan has its share of the request rate, and their requests."""
+    """Draw customers for each plan until it has its share of the request rate, and draw their requests."""
     rng = np.random.default_rng([experiment.seed, 1])
     customers: list[Customer] = []
     times: list[Floats] = []
@@ -59,7 +59,7 @@
 def _draw_customer(
     rng: np.random.Generator, experiment: HollowExperiment, plan_number: int, plan: PlanParameters
 ) -> tuple[Customer, Floats, Integers]:
-    """One customer of the plan with that number; times of its requests, and their limiters."""
+    """Draw a customer of the plan with that number; return it with the times and limiters of its requests."""
     times = _draw_request_times(rng, experiment.usage, plan.rate / 1000, experiment.duration)
     low, high = experiment.clients.limiters_per_customer
     size = min(experiment.limiters, int(rng.integers(low, high + 1)))
@@ -72,7 +72,7 @@
 def _draw_arrivals(
     rng: np.random.Generator, experiment: HollowExperiment, times: list[Floats], limiters: list[Integers]
 ) -> Arrivals:
-    """All customers' requests in order of time, with class, work and client timeout of each."""
+    """Merge the requests of all customers in order of time; draw the class, work and timeout of each."""
     all_times = np.concatenate(times)
     customers = np.repeat(np.arange(len(times)), [len(customer_times) for customer_times in times])
     order = np.argsort(all_times, kind="stable")
@@ -96,7 +96,7 @@
 def _draw_request_times(
     rng: np.random.Generator, usage: UsageParameters, units_per_ms: float, duration: float
 ) -> Floats:
-    """Times of one customer's requests, in order; `rate` is its plan's rate in units a ms."""
+    """Draw the times of a customer's requests, in order; `units_per_ms` is the rate of its plan."""
 
     def draw_poisson_times(rate_factor: FloatRange, begin: float, end: float) -> Floats:
         mean = units_per_ms * rng.uniform(*rate_factor) * (end - begin)
@@ -120,7 +120,7 @@
 def _draw_set_members(
     rng: np.random.Generator, experiment: HollowExperiment, times: Floats, size: int
 ) -> Integers:
-    """Which limiter of the customer's set, from 0, each of its requests comes in through."""
+    """Draw for each request of a customer to which limiter of its set, counted from 0, it is sent."""
     clients = experiment.clients
     if rng.random() < clients.single_limiter_share:
         return np.full(len(times), rng.integers(size))
--- a/scale/hollow/discovery.py
+++ b/scale/hollow/discovery.py
@@ -1,4 +1,4 @@
-"""Simulation of discovery: the endpoint list, whose changes reach each limiter at a time of its own."""
+"""Simulation of discovery: the endpoint list, whose changes each limiter receives after its own delay."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class Discovery:
-    """Learns of changes with a delay and pushes them to all limiters; an outage holds them back."""
+    """Learns of changes with a delay and pushes them to all limiters; defers the push during an outage."""
 
     def __init__(self, clock: VirtualClock, experiment: HollowExperiment) -> None:
-        """List no server yet, and push changes to nobody until `subscribe`."""
+        """Create an empty endpoint list; changes are pushed to nobody until `subscribe` is called."""
         self.endpoints: dict[bytes, Endpoint] = {}
-        self.pushed_change_count = 0  # number of changes pushed so far
+        self.pushed_change_count = 0  # changes pushed so far, not multiplied by the number of limiters
         self.is_down = False
         self._clock = clock
         self._parameters = experiment.discovery
@@ -26,32 +26,32 @@
         self._deliver: Callable[[int, EndpointsChanged], None] | None = None
         self._rng = Random(f"{experiment.seed}:discovery")
         self._push_rng = np.random.default_rng([experiment.seed, 3])
-        self._unpushed_changes: list[Endpoint] = []  # changes learnt during an outage
+        self._unpushed_changes: list[Endpoint] = []  # changes that discovery learnt of during an outage
         self._reported_change_count = 0
-        # Number of the latest change that discovery has learnt, by endpoint id.
+        # Number of the latest change that discovery has learnt of, by endpoint id.
         self._latest_change_numbers: dict[bytes, int] = {}
 
     def subscribe(self, deliver: Callable[[int, EndpointsChanged], None]) -> None:
-        """Hand each change to `deliver(limiter, change)`, for each limiter at its time."""
+        """Call `deliver(limiter, change)` for each change and limiter, when the limiter receives it."""
         self._deliver = deliver
 
     def make_full_list(self) -> EndpointsChanged:
-        """The whole list, as a limiter gets it when it starts."""
+        """Return the whole endpoint list, as a limiter receives it when it starts."""
         return EndpointsChanged(tuple(self.endpoints.values()), is_full_list=True)
 
     def report_changes(self, endpoints: Iterable[Endpoint], delay_range: FloatRange) -> None:
-        """Changes that happen now; discovery learns of each after a delay drawn from the range, in ms."""
+        """Report changes that happen now; discovery learns of each after a delay drawn from a range in ms."""
         for endpoint in endpoints:
             self._reported_change_count += 1
             due = self._clock.now + self._rng.uniform(*delay_range)
             self._clock.call_at(due, self._apply_change, endpoint, self._reported_change_count)
 
     def begin_outage(self) -> None:
-        """Begin an outage: changes are held back until `restore`."""
+        """Begin an outage: changes are not pushed until `end_outage`."""
         self.is_down = True
 
     def end_outage(self) -> None:
-        """End an outage: push what was held back."""
+        """End an outage: push the changes that discovery learnt of during it."""
         self.is_down = False
         unpushed_changes = tuple(self._unpushed_changes)
         self._unpushed_changes = []
@@ -59,9 +59,8 @@
             self._push(unpushed_changes)
 
     def _apply_change(self, endpoint: Endpoint, number: int) -> None:
-        is_outdated = number < self._latest_change_numbers.get(
-            endpoint.id, 0
-        )  # a later change was learnt sooner
+        # A later change may have been learnt of earlier.
+        is_outdated = number < self._latest_change_numbers.get(endpoint.id, 0)
         if is_outdated:
             return
         self._latest_change_numbers[endpoint.id] = number
--- a/scale/hollow/faults.py
+++ b/scale/hollow/faults.py
@@ -1,8 +1,8 @@
-"""Faults of an experiment: what they stop, and when it is back."""
+"""The injection of an experiment's faults, and the restoration afterwards."""
 
 from __future__ import annotations
 
-from scale.hollow.context import Context
+from scale.hollow.context import SimulationContext
 from scale.hollow.discovery import Discovery
 from scale.hollow.limiters import LimiterHost
 from scale.hollow.plan import (
@@ -19,12 +19,16 @@
 
 
 class FaultInjector:
-    """Schedules the experiment's faults and carries them out."""
+    """Schedules the faults of an experiment and injects them."""
 
     def __init__(
-        self, context: Context, limiter_host: LimiterHost, server_fleet: ServerFleet, discovery: Discovery
+        self,
+        context: SimulationContext,
+        limiter_host: LimiterHost,
+        server_fleet: ServerFleet,
+        discovery: Discovery,
     ) -> None:
-        """Schedule nothing until `start`."""
+        """Create the injector; it schedules nothing until `start` is called."""
         self._faults = context.experiment.faults
         self._clock = context.clock
         self._rng = context.rng
@@ -66,7 +70,7 @@
                 self._clock.call_at(self._clock.now + fault.fault_duration, self._discovery.end_outage)
 
     def _draw_indices(self, count: int, share: float) -> list[int]:
-        """Draw that share of the numbers below `count`."""
+        """Draw the given share of the indices below `count`, in random order."""
         return self._rng.sample(range(count), round(share * count))
 
     def _restart_limiters(self, fault: RestartLimiters) -> None:
--- a/scale/hollow/limiters.py
+++ b/scale/hollow/limiters.py
@@ -1,6 +1,6 @@
-"""The limiters: a policy engine each, which is fed with events and whose actions are carried out.
+"""The limiters: each passes events to a policy engine of its own, whose actions are then executed.
 
-A limiter here does what the driver in limiter/transport does around the engine, without the sockets.
+The code here does what the driver in limiter/transport does, but without sockets.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from limiter.policy.engine import PolicyEngine
 from scale.hollow.attempts import AttemptDriver
 from scale.hollow.clock import VirtualClock
-from scale.hollow.context import Context
+from scale.hollow.context import SimulationContext
 from scale.hollow.counter import SharedCounter
 from scale.hollow.discovery import Discovery
 from scale.hollow.gossip_age import GossipMessage
@@ -42,7 +42,7 @@
 
 
 class Limiter:
-    """One policy engine, and what its driver keeps."""
+    """A policy engine and the state that its driver keeps."""
 
     __slots__ = (
         "_clock",
@@ -67,31 +67,31 @@
         clock: VirtualClock,
         execute_action: Callable[[Limiter, PolicyEngine, Action], None],
     ) -> None:
-        """Be down until it is started; `carry_out` gets each action of the limiter's policy engine."""
+        """Create a limiter that is down; `execute_action` is called for each action of its policy engine."""
         self._clock = clock
         self._execute_action = execute_action
         self.number = number
         self.zone = zone
-        self.engine: PolicyEngine | None = None  # None while down
+        self.engine: PolicyEngine | None = None  # None while the limiter is down
         self.is_up = False
-        self.last_state_change_at = 0.0  # ms; time at which it went up or down
-        # Number of starts so far; timers and counter replies of an earlier incarnation are dropped.
+        self.last_state_change_at = 0.0  # ms; time of the last start or kill
+        # Number of starts so far. Timers and counter replies of an earlier incarnation are discarded.
         self.incarnation = 0
         self.requests: dict[int, Request] = {}
-        self.gossip_datagrams_sent = 0  # datagrams, as in gossip_received
+        self.gossip_datagrams_sent = 0
         self.gossip_datagrams_received = 0
         self.gossip_bytes_sent = 0
         self.gossip_bytes_received = 0
 
     def start(self, engine: PolicyEngine) -> None:
-        """Come up with a new policy engine."""
+        """Bring the limiter up with a new policy engine."""
         self.engine = engine
         self.is_up = True
         self.last_state_change_at = self._clock.now
         self.incarnation += 1
 
     def kill(self) -> list[Request]:
-        """Go down and lose all state; return the requests that were not over."""
+        """Take the limiter down and discard its state; return the requests that it still had."""
         self.engine = None
         self.is_up = False
         self.last_state_change_at = self._clock.now
@@ -100,7 +100,7 @@
         return lost_requests
 
     def process_event(self, event: Event) -> None:
-        """Hand an event to the policy engine and carry out its actions; nothing while the limiter is down."""
+        """Pass an event to the policy engine and execute the actions; ignore it while the limiter is down."""
         engine = self.engine
         if engine is None:
             return
@@ -108,34 +108,34 @@
             self._execute_action(self, engine, action)
 
     def count_gossip_sent(self, datagrams: int, body: bytes) -> None:
-        """Count a message that was sent as that many datagrams."""
+        """Count a message that was sent in that many datagrams."""
         self.gossip_datagrams_sent += datagrams
         self.gossip_bytes_sent += datagrams * len(body)
 
     def count_gossip_received(self, body: bytes) -> None:
-        """Count a message of another limiter."""
+        """Count a message that was received from another limiter."""
         self.gossip_datagrams_received += 1
         self.gossip_bytes_received += len(body)
 
 
 class RejectionHandler(Protocol):
-    """Takes the policy engines' rejections: clients may retry."""
+    """Handles rejections by the policy engines, after which clients may retry."""
 
     def handle_rejection(self, limiter: Limiter, request_id: int) -> None:
-        """Give the request its final outcome."""
+        """End a request as rejected."""
 
 
 class LimiterHost:
-    """Starts and kills limiters, hands them events and carries out their actions."""
+    """Starts and kills limiters, passes events to them and executes their actions."""
 
     def __init__(
         self,
-        context: Context,
+        context: SimulationContext,
         request_tracker: RequestTracker,
         discovery: Discovery,
         attempt_driver: AttemptDriver,
     ) -> None:
-        """Make the limiters, all down, and the gossip network and the counter that they talk to."""
+        """Create the limiters, all of them down, and the gossip network and counter that they use."""
         experiment = context.experiment
         self._clock = context.clock
         self._rng = context.rng
@@ -149,18 +149,18 @@
         self._attempt_driver = attempt_driver
         self._rejection_handler: RejectionHandler | None = None
         discovery.subscribe(self._handle_endpoint_change)
-        zone = context.network.topology.get_zone
+        get_zone = context.network.topology.get_zone
         self.limiters = [
-            Limiter(number, zone(number), context.clock, self._execute_action)
+            Limiter(number, get_zone(number), context.clock, self._execute_action)
             for number in range(experiment.limiters)
         ]
 
     def set_rejection_handler(self, handler: RejectionHandler) -> None:
-        """Hand rejections to the clients, which are made after the limiters."""
+        """Set the handler of rejections: the clients, which are created after the limiters."""
         self._rejection_handler = handler
 
     def start_limiter(self, limiter: Limiter) -> None:
-        """Start a limiter with the endpoint list and nothing else; nothing if it is up."""
+        """Start a limiter, whose only state is the endpoint list; do nothing if it is up."""
         if limiter.is_up:
             return
         settings = replace(self._settings, limiter_index=limiter.number, zone=limiter.zone)
@@ -168,7 +168,7 @@
         limiter.process_event(self._discovery.make_full_list())
 
     def kill_limiter(self, limiter: Limiter) -> None:
-        """Kill a limiter: its requests and all its state are lost; nothing if it is down."""
+        """Kill a limiter, which loses its requests and all other state; do nothing if it is down."""
         if not limiter.is_up:
             return
         lost_requests = limiter.kill()
@@ -233,7 +233,7 @@
 
 
 def make_limiter_settings(experiment: HollowExperiment) -> Settings:
-    """Settings of limiter 0 of the experiment's fleet, in its first zone."""
+    """Return the settings of limiter 0 of the experiment, which is in the first zone."""
     servers = experiment.servers
     return Settings(
         limiter_index=0,
--- a/scale/hollow/network.py
+++ b/scale/hollow/network.py
@@ -1,4 +1,4 @@
-"""Simulation of the network: delays between zones, partitioned regions, and gossip between limiters."""
+"""Simulation of the network: delays between zones, partitions of regions, and gossip between limiters."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 
 
 class Topology:
-    """Zones and regions of limiters and servers: assigned round robin by number."""
+    """Zones and regions of limiters and servers; zones are assigned round robin by number."""
 
     def __init__(self, experiment: HollowExperiment) -> None:
-        """Take the numbers of zones and regions from the experiment."""
+        """Read how many zones and regions the experiment has."""
         self.zone_count = experiment.zones
         self.region_count = experiment.regions
 
     def get_zone(self, number: int) -> int:
-        """Zone of the limiter or server with that number."""
+        """Return the zone of the limiter or server with that number."""
         return number % self.zone_count
 
     def get_region(self, number: int) -> int:
-        """Region of the limiter or server with that number."""
+        """Return the region of the limiter or server with that number."""
         return self.get_region_of_zone(self.get_zone(number))
 
     def get_region_of_zone(self, zone: int) -> int:
-        """Region that a zone belongs to."""
+        """Return the region that a zone belongs to."""
         return zone * self.region_count // self.zone_count
 
 
 class Network:
-    """One-way delays between zones, and which regions are partitioned from the others."""
+    """Delivers packets after one-way delays, and not at all to or from partitioned regions."""
 
     def __init__(self, clock: VirtualClock, experiment: HollowExperiment) -> None:
-        """Connect everything; delays are drawn from a stream of random numbers of its own."""
+        """Create a network without partitions, which draws delays from a random generator of its own."""
         self.clock = clock
         self.topology = Topology(experiment)
         self.partitioned_regions: set[int] = set()
@@ -61,25 +61,25 @@
         return self._rng.uniform(*self._parameters.cross_region_delay)
 
     def are_regions_connected(self, region: int, other: int) -> bool:
-        """Whether packets pass between two regions."""
+        """Return whether packets pass between two regions."""
         return region == other or not self.partitioned_regions & {region, other}
 
     def call_after_delay(
         self, zone: int, other: int, callback: Callable[[*Arguments], None], *args: *Arguments
     ) -> None:
-        """Schedule `callback(*args)` for the arrival of a packet; it never arrives across a partition."""
+        """Schedule `callback(*args)` for the arrival of a packet; across a partition, it is never called."""
         delay = self.draw_delay(zone, other)
         if not math.isinf(delay):
             self.clock.call_at(self.clock.now + delay, callback, *args)
 
 
 class GossipNetwork(Generic[MessageT]):
-    """Gossip datagrams between limiters: delayed, partly dropped, and rate limited at each receiver."""
+    """Delivers gossip datagrams between limiters with delays, losses and a rate limit at each receiver."""
 
     def __init__(
         self, network: Network, experiment: HollowExperiment, deliver: Callable[[int, MessageT], None]
     ) -> None:
-        """Hand each datagram that arrives to `deliver(receiver, message)`."""
+        """Create a network that calls `deliver(receiver, message)` for each datagram that is accepted."""
         self.clock = network.clock
         self.deliver = deliver
         self.receive_limits = [GossipReceiveLimit(experiment.network) for _ in range(experiment.limiters)]
@@ -91,7 +91,7 @@
         self._regions = np.array(regions)
 
     def broadcast(self, sender: int, message: MessageT) -> int:
-        """Send one datagram to each other limiter; return how many were sent."""
+        """Send one datagram to each other limiter; return the number of datagrams sent."""
         parameters = self._parameters
         region = int(self._regions[sender])
         delays = self._rng.uniform(*parameters.gossip_delay, self._limiter_count)
@@ -117,20 +117,20 @@
 
 
 class GossipReceiveLimit:
-    """Token bucket of the datagrams that one limiter takes in; datagrams beyond it are dropped."""
+    """Token bucket that limits the rate of datagrams that a limiter accepts; all others are dropped."""
 
     __slots__ = ("_burst", "_rate", "_tokens", "_updated_at", "dropped_datagram_count")
 
     def __init__(self, parameters: NetworkParameters) -> None:
         """Start with a full bucket."""
         self.dropped_datagram_count = 0
-        self._rate = parameters.gossip_intake_per_second / 1000  # datagrams a ms
+        self._rate = parameters.gossip_intake_per_second / 1000  # datagrams per ms
         self._burst = parameters.gossip_intake_burst
         self._tokens = self._burst
         self._updated_at = 0.0
 
     def admit(self, now: float) -> bool:
-        """Take in a datagram that arrives now, or count it as dropped; return whether it was taken in."""
+        """Return whether a datagram that arrives now is accepted; if not, count it as dropped."""
         self._tokens = min(self._burst, self._tokens + self._rate * (now - self._updated_at))
         self._updated_at = now
         if self._tokens < 1:
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients and their attempts, from a request's arrival to its one final outcome."""
+"""Client requests and their attempts, from the arrival of a request to its one final outcome."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 from typing import Protocol
 
 from limiter.model.events import ClientRequest, Event, Outcome
-from scale.hollow.context import Context
+from scale.hollow.context import SimulationContext
 from scale.hollow.quota import Quota
 from scale.hollow.server import Server, ServerJob
 from scale.hollow.tally import RequestOutcome
 
 
 class RequestOwner(Protocol):
-    """The limiter that a request came in through, as far as requests and attempts know it."""
+    """The limiter that received a request, with the members that requests and attempts use."""
 
     @property
     def number(self) -> int:
-        """Number of the limiter within the fleet."""
+        """Return the number of the limiter within the fleet."""
 
     @property
     def zone(self) -> int:
-        """Zone that the limiter runs in."""
+        """Return the zone that the limiter runs in."""
 
     @property
     def requests(self) -> dict[int, Request]:
-        """Requests that are not over, by id."""
+        """Return, by id, the requests that have no final outcome or have attempts in flight."""
 
     def process_event(self, event: Event) -> None:
-        """Hand an event to the limiter's policy engine, and carry out the actions that it returns."""
+        """Pass an event to the limiter's policy engine and execute the actions that it returns."""
 
 
 class Request:
-    """One request of a client, a first one or a retry, at one limiter."""
+    """A request of a client, either a first request or a retry, at one limiter."""
 
     __slots__ = (
         "arrived_at",
@@ -46,7 +46,7 @@
     )
 
     def __init__(self, event: ClientRequest, arrived_at: float, quota: Quota, work_ms: float) -> None:
-        """Wait for the final outcome, with no attempt made; `work` in ms of one core."""
+        """Create a request without attempts or final outcome; `work_ms` is in ms of one core."""
         self.event = event
         self.arrived_at = arrived_at
         self.quota = quota
@@ -57,34 +57,34 @@
         self.attempts_in_flight: list[Attempt] = []
 
     def add_attempt(self, attempt: Attempt) -> None:
-        """Enter the next attempt of the request."""
+        """Add the next attempt of the request to those in flight."""
         self.attempt_count += 1
         self.attempts_in_flight.append(attempt)
         self.quota.record_attempt_start()
 
     def remove_attempt(self, attempt: Attempt) -> None:
-        """Take an attempt that ended at the limiter off those in flight."""
+        """Remove an attempt that ended at the limiter from those in flight."""
         self.attempts_in_flight.remove(attempt)
         self.quota.record_attempt_end()
 
     def record_possible_execution(self) -> None:
-        """Note that an attempt may have run at its server, so that another one might repeat its effect."""
+        """Record that a server may have executed the request, so that a retry might repeat its effect."""
         self.may_have_run = True
 
     def set_outcome(self, outcome: RequestOutcome) -> None:
-        """Set the one final outcome.
+        """Set the final outcome.
 
         Raises:
-            AssertionError: the request had ended before, which every simulation checks.
+            AssertionError: The request already has a final outcome. All simulations rely on this check.
         """
         if self.outcome is not None:
-            message = f"request {self.event.id}: {outcome.value} after {self.outcome.value}"
+            message = f"request {self.event.id}: second outcome {outcome.value} after {self.outcome.value}"
             raise AssertionError(message)
         self.outcome = outcome
 
 
 class Attempt(ServerJob):
-    """A request sent to a server: `is_over` if it ended there, `is_ended` if it ended at its limiter."""
+    """A request sent to a server. An attempt ends separately at the server and at its limiter."""
 
     __slots__ = ("_on_reply", "is_ended_at_limiter", "limiter", "number", "request", "sent_at", "server")
 
@@ -96,7 +96,7 @@
         sent_at: float,
         on_reply: Callable[[Attempt, Outcome], None],
     ) -> None:
-        """Make the next attempt of the request; `on_reply` takes the server's response."""
+        """Create the next attempt of the request; `on_reply` is called with the server's response."""
         super().__init__(request.work_ms)
         self.request = request
         self.number = request.attempt_count
@@ -107,33 +107,33 @@
         self._on_reply = on_reply
 
     def end_at_limiter(self) -> None:
-        """End at the limiter, which passes over all that the server does from now on."""
+        """End the attempt at the limiter, which ignores any later response of the server."""
         self.is_ended_at_limiter = True
         self.request.remove_attempt(self)
 
     def handle_reply(self, outcome: Outcome) -> None:
-        """Take the server's response, which leaves the server now."""
+        """Handle the server's response, which the server sends now."""
         self._on_reply(self, outcome)
 
 
 class RequestTracker:
-    """Gives requests their final outcomes, counts them, and forgets requests that are over."""
+    """Sets the final outcomes of requests, counts them, and removes requests that are over from limiters."""
 
-    def __init__(self, context: Context) -> None:
-        """Count into the context's tally."""
+    def __init__(self, context: SimulationContext) -> None:
+        """Create a tracker that counts in the tally of the context."""
         self._clock = context.clock
         self._tally = context.tally
 
     def add_request(self, limiter: RequestOwner, request: Request) -> None:
-        """Enter a request that a limiter takes."""
+        """Add a request that a limiter receives."""
         limiter.requests[request.event.id] = request
         self._tally.record_request_opened()
 
     def end_request(self, request: Request, outcome: RequestOutcome) -> None:
-        """End a request for its client.
+        """End a request for its client with a final outcome.
 
         Raises:
-            AssertionError: it had ended before.
+            AssertionError: The request already has a final outcome.
         """
         request.set_outcome(outcome)
         self._tally.record_request_closed()
@@ -142,7 +142,7 @@
         )
 
     def apply_engine_outcome(self, limiter: RequestOwner, request_id: int, outcome: RequestOutcome) -> None:
-        """Carry out the policy engine's final outcome; one for a request that has its outcome is dropped."""
+        """End a request with the policy engine's outcome, unless the request already has a final outcome."""
         request = limiter.requests.get(request_id)
         if request is None or request.outcome is not None:
             return
@@ -150,6 +150,6 @@
         self.remove_if_over(limiter, request)
 
     def remove_if_over(self, limiter: RequestOwner, request: Request) -> None:
-        """Forget a request that has its outcome and no attempt in flight."""
+        """Remove a request from its limiter if it has a final outcome and no attempt in flight."""
         if request.outcome is not None and not request.attempts_in_flight:
             limiter.requests.pop(request.event.id, None)
--- a/scale/hollow/result_lines.py
+++ b/scale/hollow/result_lines.py
@@ -1,6 +1,7 @@
-"""The result lines of hollow experiments: one for the whole run, and one for each fault.
+"""The result lines of hollow experiments: one for the whole run and one for each fault.
 
-Their keys keep the words of older runs (`tells`, `news`, `refused`), so that results stay comparable.
+The keys of the lines keep the terms of earlier runs (`tells`, `news`, `refused`), so that results stay
+comparable.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
     round_to_six_digits,
 )
 
-# Names of outcomes in result lines that differ from the enumeration's values of today.
+# Names of outcomes in result lines, where they differ from the current values of the enumeration.
 OUTCOME_RESULT_NAMES = {Outcome.REJECTED: "full", Outcome.REQUEST_ENDED: "moot"}
 QUANTILE_LEVELS = {"p50": 0.5, "p90": 0.9, "p99": 0.99}
-# Highest values that the histograms hold; a higher one counts as this one.
+# Maximum values of the histograms; a higher value is counted as the maximum.
 MAX_AGE_STEPS = 10_000_000
 MAX_LATENCY_US = 60_000_000
 
@@ -33,19 +34,19 @@
 
 
 class RequestFigures(TypedDict):
-    """What became of requests and attempts that arrived after the warm-up."""
+    """Outcomes of the requests that arrived after the warm-up, and figures on units and attempts."""
 
-    tries: int  # requests, retries included
+    tries: int  # requests, including retries
     retries: int
     served: int
     refused: int
     failed: int
     lost: int  # requests whose limiter was killed
-    unreachable: int  # requests whose limiter was down
-    by_driver: int  # requests that the driver ended at their deadline, before the policy engine did
+    unreachable: int  # requests that were sent to a limiter that was down
+    by_driver: int  # requests that the driver ended at their deadline, as the policy engine had not
     served_share: float | None
     refused_share: float | None
-    refused_with_room_share: float | None  # share rejected while half the quota or more was free
+    refused_with_room_share: float | None  # share rejected while at least half the quota was unused
     units_sent_on: float
     units_beyond: float
     beyond_share: float | None
@@ -55,10 +56,10 @@
 
 
 class CounterFigures(TypedDict):
-    """Calls of the shared counter."""
+    """Numbers of calls of the shared counter."""
 
     counter_calls: int
-    counter_full: int  # calls rejected by a full queue
+    counter_full: int  # calls rejected because the queue was full
     counter_unanswered: int  # calls that timed out
     counter_calls_a_request: float | None
 
@@ -66,25 +67,25 @@
 class GossipFigures(TypedDict):
     """Number and rate of gossip messages between limiters."""
 
-    tells: int  # messages, each sent to all other limiters
-    messages_sent_per_s: dict[str, float]  # datagrams; mean and maximum over limiters
+    tells: int  # number of messages, each of which goes to all other limiters
+    messages_sent_per_s: dict[str, float]  # datagrams: mean and maximum over limiters
     messages_heard_per_s: dict[str, float]
     bytes_sent_per_s: dict[str, float]
     bytes_heard_per_s: dict[str, float]
-    messages_dropped: int  # datagrams beyond what their receivers take in
+    messages_dropped: int  # datagrams dropped by the rate limit of their receivers
 
 
 class GossipAgeFigures(TypedDict):
-    """Delay until other limiters learn of a customer's usage."""
+    """Delay until a customer's other limiters learn of its usage at one limiter."""
 
     telling_interval_ms: float
-    news_pairs: int  # pairs of a usage and a limiter that should learn of it
+    news_pairs: int  # pairs of a forwarded request and a limiter that should learn of its usage
     news_age_ms: Quantiles
-    news_never_learnt: float | None  # share of the pairs
+    news_never_learnt: float | None  # share of the pairs whose limiter never learnt of the usage
 
 
 class Summary(RequestFigures, CounterFigures, GossipFigures, GossipAgeFigures):
-    """The line for the whole experiment."""
+    """The result line for the whole experiment."""
 
     experiment: str
     seed: int
@@ -93,25 +94,25 @@
     customers: int
     duration_ms: float
     list_changes: int
-    servers_fallen: int  # crashes of overload during slow start
+    servers_fallen: int  # number of crashes due to overload during slow start
 
 
 class FaultLine(TypedDict):
-    """The line for one fault."""
+    """The result line for one fault."""
 
     experiment: str
     seed: int
     fault: str
     at_ms: float
     ends_ms: float
-    # Units beyond quotas in a window: mean before the fault, and the most after it.
+    # Units beyond quotas in a window: mean before the fault, and maximum after it.
     before: float | None
     worst: float | None
     recovery_ms: float | None
 
 
 def make_summary(simulation: Simulation, gossip: GossipFigures) -> Summary:
-    """Make the line for the whole experiment; `gossip` was taken when the last requests had arrived."""
+    """Make the line for the whole experiment; `gossip` has the figures as of the end of `duration`."""
     experiment = simulation.experiment
     servers = simulation.server_fleet.servers_by_id
     return {
@@ -143,19 +144,19 @@
 
 
 def make_gossip_figures(simulation: Simulation) -> GossipFigures:
-    """Count the messages between limiters so far, by seconds in which requests arrive."""
+    """Make the figures of gossip so far; rates are per second of the experiment's `duration`."""
     seconds = simulation.experiment.duration / 1000
     limiters = simulation.limiter_host.limiters
 
-    def compute_rate(counts: list[int]) -> dict[str, float]:
+    def compute_rates(counts: list[int]) -> dict[str, float]:
         return compute_mean_and_max_rate(counts, seconds)
 
     return {
         "tells": simulation.tally.gossip_message_count,
-        "messages_sent_per_s": compute_rate([limiter.gossip_datagrams_sent for limiter in limiters]),
-        "messages_heard_per_s": compute_rate([limiter.gossip_datagrams_received for limiter in limiters]),
-        "bytes_sent_per_s": compute_rate([limiter.gossip_bytes_sent for limiter in limiters]),
-        "bytes_heard_per_s": compute_rate([limiter.gossip_bytes_received for limiter in limiters]),
+        "messages_sent_per_s": compute_rates([limiter.gossip_datagrams_sent for limiter in limiters]),
+        "messages_heard_per_s": compute_rates([limiter.gossip_datagrams_received for limiter in limiters]),
+        "bytes_sent_per_s": compute_rates([limiter.gossip_bytes_sent for limiter in limiters]),
+        "bytes_heard_per_s": compute_rates([limiter.gossip_bytes_received for limiter in limiters]),
         "messages_dropped": sum(
             intake.dropped_datagram_count for intake in simulation.limiter_host.gossip_network.receive_limits
         ),
@@ -187,7 +188,7 @@
 
 
 def _make_outcome_counts(outcomes: Mapping[Outcome, int]) -> dict[str, int]:
-    """Return the count of each outcome that occurred, by its name in result lines."""
+    """Return the number of attempts for each outcome that occurred, by the name in result lines."""
     return {
         OUTCOME_RESULT_NAMES.get(outcome, outcome.value): count
         for outcome, count in outcomes.items()
--- a/scale/hollow/run.py
+++ b/scale/hollow/run.py
@@ -1,4 +1,4 @@
-"""Runs a hollow experiment, checks that every request ended once, and records its result lines."""
+"""Runs a hollow experiment, checks that each request ended exactly once, and records the result lines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from scale.hollow.result_lines import make_fault_line, make_gossip_figures, make_summary
 from scale.hollow.simulation import Simulation
 
-# Number of progress lines while requests arrive, at even distances of simulated time.
+# Number of progress lines while requests arrive, at equal intervals of simulated time.
 PROGRESS_LINES = 10
 
 
@@ -19,12 +19,12 @@
     """Run the experiment until every request has ended.
 
     Args:
-        experiment: what to run.
-        record: takes the result lines.
-        progress: takes lines of text while the experiment runs.
+        experiment: The experiment.
+        record: Is called with each result line.
+        progress: Is called with lines of text while the experiment runs.
 
     Raises:
-        AssertionError: a request got no final outcome, or more than one.
+        AssertionError: A request got no final outcome or more than one.
     """
     with _disabled_garbage_collection():
         simulation = Simulation(experiment)
@@ -46,7 +46,10 @@
 
 @contextmanager
 def _disabled_garbage_collection() -> Iterator[None]:
-    """Pause the collector: engines live to the end, and scanning them would take most of the time."""
+    """Disable garbage collection during the context.
+
+    The engines live until the end of the run, and scanning them would take most of the run's time.
+    """
     gc.disable()
     try:
         yield
@@ -55,15 +58,17 @@
 
 
 def check_all_requests_ended(simulation: Simulation) -> None:
-    """Raise AssertionError unless every request has one final outcome and no attempt is left."""
+    """Raise AssertionError unless each request has one final outcome and no attempt is in flight."""
     tally = simulation.tally
     if tally.open_request_count:
-        message = f"{tally.open_request_count} requests were never answered"
+        message = f"{tally.open_request_count} requests have no final outcome"
         raise AssertionError(message)
     if tally.ended_request_count != simulation.clients.sent_request_count:
-        message = f"{simulation.clients.sent_request_count} tries and {tally.ended_request_count} answers"
+        message = (
+            f"{simulation.clients.sent_request_count} requests sent but {tally.ended_request_count} ended"
+        )
         raise AssertionError(message)
-    in_flight = sum(customer.quota.in_flight_attempt_count for customer in simulation.customers)
-    if in_flight:
-        message = f"{in_flight} attempts are still out"
+    attempts_in_flight = sum(customer.quota.in_flight_attempt_count for customer in simulation.customers)
+    if attempts_in_flight:
+        message = f"{attempts_in_flight} attempts are still in flight"
         raise AssertionError(message)
--- a/scale/hollow/server.py
+++ b/scale/hollow/server.py
@@ -1,4 +1,4 @@
-"""Simulation of a server: cores, a queue, and a slow start in which overload makes it crash."""
+"""Simulation of a server with cores, a queue, and a slow start during which overload crashes it."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 
 class ServerJob(ABC):
-    """A request at a server, from its sending to its end there. The server alone writes its state."""
+    """A request at a server, from when it is sent until it ends there. Only the server changes its state."""
 
     __slots__ = ("has_started", "is_ended_at_server", "work_ms")
 
     def __init__(self, work_ms: float) -> None:
-        """Take `work` ms of one core of a warm server."""
+        """Create a job that takes `work_ms` of one core of a server after its slow start."""
         self.work_ms = work_ms
         self.has_started = False
         self.is_ended_at_server = False
 
     @abstractmethod
     def handle_reply(self, outcome: Outcome) -> None:
-        """Take the server's response, which leaves the server now."""
+        """Handle the server's response, which the server sends now."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerModel:
-    """What all servers of an experiment have in common."""
+    """The parameters that all servers of an experiment share."""
 
     parameters: ServerParameters
-    mean_work_ms: float  # mean work of all requests, in ms of one core
+    mean_work_ms: float  # over all requests, in ms of one core
 
 
 class Server:
-    """Cores and a queue before them; after a start it is cold for a while and then crashes if overloaded."""
+    """A server that runs one job per core and queues others; during slow start, overload crashes it."""
 
     def __init__(
         self,
@@ -49,13 +49,13 @@
         zone: int,
         on_crash: Callable[[Server], None],
     ) -> None:
-        """Run since long ago, so that the slow start is over.
+        """Create a running server whose slow start is over.
 
-        The endpoint id follows from `number`; `on_crash` is called when the server crashes of overload.
+        The endpoint id is made from `number`. `on_crash` is called when the server crashes due to overload.
         """
         self.id = number.to_bytes(6, "big")
         self.zone = zone
-        self.started_at = -math.inf  # ms; start of the process
+        self.started_at = -math.inf  # ms; time at which the process started
         self.is_up = True
         self.is_draining = False
         self.crash_count = 0
@@ -63,34 +63,34 @@
         self._parameters = model.parameters
         self._mean_work_ms = model.mean_work_ms
         self._on_crash = on_crash
-        self._is_machine_lost = False  # if so, packets to it get no reply, not even a reset
+        self._is_machine_lost = False  # if true, packets to the server get no reply, not even a reset
         self._running_job_count = 0
-        # Queued jobs; one that was cancelled stays in the queue until its turn comes.
+        # Queued jobs. A cancelled job stays here until it reaches the head of the queue.
         self._queue: deque[ServerJob] = deque()
-        self._queued_job_count = 0  # number of queued jobs that were not cancelled
+        self._queued_job_count = 0  # without cancelled jobs
         self._jobs: dict[ServerJob, None] = {}  # running and queued jobs, in order of arrival
         # Times of arrivals within the overload window during slow start, in ms.
         self._recent_arrivals: deque[float] = deque()
 
     def make_endpoint(self, state: EndpointState) -> Endpoint:
-        """The server's entry of the endpoint list."""
+        """Return the server's entry in the endpoint list."""
         return Endpoint(self.id, state, zone=self.zone, started_at=max(0.0, self.started_at))
 
     def get_capacity_fraction(self) -> float:
-        """Present capacity as a share of the full one; during slow start it grows linearly."""
+        """Return the present capacity as a fraction of the full one; it grows linearly during slow start."""
         parameters = self._parameters
         age = self._clock.now - self.started_at
         return compute_capacity_fraction(age, parameters.slow_start_duration, parameters.slow_start_capacity)
 
     def receive_job(self, job: ServerJob) -> None:
-        """Run, queue or reject a job; one that arrives at a process that is down fails to connect."""
+        """Run, queue or reject a job that arrives; it fails to connect if the process is down."""
         if self._is_machine_lost or job.is_ended_at_server:
             return
         if not self.is_up:
             _end_job(job, Outcome.CONNECT_FAILED)
         elif self.is_draining:
             _end_job(job, Outcome.REJECTED)
-        elif self._is_in_slow_start() and self._is_overloaded():
+        elif self._is_in_slow_start() and self._record_arrival_and_check_overload():
             self.crash_count += 1
             self.stop()
             self._on_crash(self)
@@ -99,7 +99,7 @@
             self._accept_job(job)
 
     def remove_job(self, job: ServerJob) -> None:
-        """End a job, whether done or cancelled: its core or place in the queue is free at once."""
+        """End a job that is done or cancelled; its core or its place in the queue becomes free at once."""
         if job.is_ended_at_server:
             return
         job.is_ended_at_server = True
@@ -113,7 +113,7 @@
         self._start_queued_jobs()
 
     def stop(self, is_machine_lost: bool = False) -> None:
-        """End the process, which resets its connections; a lost machine resets none."""
+        """Stop the process; its connections are reset, unless the machine is lost."""
         self.is_up = False
         self._is_machine_lost = is_machine_lost
         jobs = self._jobs
@@ -128,11 +128,11 @@
                 _end_job(job, Outcome.RESET)
 
     def drain(self) -> None:
-        """Take no more requests; those that are running or queued go on."""
+        """Reject new requests from now on; running and queued ones continue."""
         self.is_draining = True
 
     def start(self) -> None:
-        """Start the process anew, in slow start."""
+        """Restart the process, which is then in slow start."""
         self.is_up = True
         self.is_draining = False
         self._is_machine_lost = False
@@ -142,10 +142,10 @@
     def _is_in_slow_start(self) -> bool:
         return self._clock.now - self.started_at < self._parameters.slow_start_duration
 
-    def _is_overloaded(self) -> bool:
-        """Count an arrival; return whether the window has more than N + 2 sqrt(N) + 2 arrivals.
+    def _record_arrival_and_check_overload(self) -> bool:
+        """Record an arrival; return whether the window has more than N + 2 sqrt(N) + 2 arrivals.
 
-        N is the number that the settings allow a server of the present capacity in that window.
+        N is the number of arrivals within the window that the parameters allow at the present capacity.
         """
         parameters = self._parameters
         now = self._clock.now
@@ -188,6 +188,6 @@
 
 
 def _end_job(job: ServerJob, outcome: Outcome) -> None:
-    """End a job that is not running or queued any more."""
+    """End a job that is neither running nor queued."""
     job.is_ended_at_server = True
     job.handle_reply(outcome)
--- a/scale/hollow/simulation.py
+++ b/scale/hollow/simulation.py
@@ -1,10 +1,10 @@
-"""The simulation of one experiment: real policy engines among simulated peers."""
+"""The simulation of one experiment: real policy engines with simulated peers."""
 
 from __future__ import annotations
 
 from scale.hollow.attempts import AttemptDriver
 from scale.hollow.clients import Clients
-from scale.hollow.context import Context
+from scale.hollow.context import SimulationContext
 from scale.hollow.customers import draw_customers
 from scale.hollow.discovery import Discovery
 from scale.hollow.faults import FaultInjector
@@ -15,16 +15,16 @@
 
 
 class Simulation:
-    """All parts of one experiment, with starts, first request and faults scheduled."""
+    """All parts of one experiment, with limiter starts, the first request and faults scheduled."""
 
     def __init__(self, experiment: HollowExperiment) -> None:
-        """Draw the customers, start the servers and schedule what comes first.
+        """Draw the customers, create all parts and schedule the first callbacks.
 
-        The order of draws and of scheduling is part of the figures.
+        The results depend on the order of the random draws and of the scheduling.
         """
         self.experiment = experiment
         self.customers, arrivals = draw_customers(experiment)
-        context = Context(experiment, self.customers)
+        context = SimulationContext(experiment, self.customers)
         self.clock = context.clock
         self.network = context.network
         self.tally = context.tally
@@ -43,5 +43,5 @@
         FaultInjector(context, self.limiter_host, self.server_fleet, self.discovery).start()
 
     def run(self, until: float) -> None:
-        """Let everything happen up to that time, in ms."""
+        """Run the simulation up to a time, in ms."""
         self.clock.run(until)
--- a/scale/hollow/slow_start.py
+++ b/scale/hollow/slow_start.py
@@ -1,4 +1,4 @@
-"""Arithmetic of a server's slow start, shared by all simulations of servers."""
+"""Formulas of a server's slow start, shared by all simulations of servers."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 def compute_capacity_fraction(age_ms: float, duration_ms: float, initial_fraction: float) -> float:
-    """Compute a server's present capacity as a share of its full one.
+    """Compute a server's present capacity as a fraction of its full capacity.
 
     Args:
-        age_ms: time since the server started.
-        duration_ms: length of the slow start, during which the capacity grows linearly.
-        initial_fraction: share that the server has at its start.
+        age_ms: Time since the server started.
+        duration_ms: Length of the slow start, during which the capacity grows linearly.
+        initial_fraction: Fraction of its capacity that the server has when it starts.
     """
     if age_ms >= duration_ms:
         return 1.0
@@ -19,9 +19,9 @@
 
 
 def compute_tolerated_arrivals(expected_arrivals: float) -> float:
-    """Number of arrivals in a window that a server in slow start tolerates, where `expected` are allowed.
+    """Compute the number of arrivals in a window that a server tolerates during slow start.
 
-    Arrivals that are random vary by the square root of their expected number; two of these deviations and
-    another two arrivals are tolerated.
+    The standard deviation of random arrivals is the square root of their expected number. Two standard
+    deviations and another two arrivals above the expected number are tolerated.
     """
     return expected_arrivals + 2 * math.sqrt(expected_arrivals) + 2
--- a/tests/scale/test_hollow_simulation.py
+++ b/tests/scale/test_hollow_simulation.py
@@ -73,11 +73,11 @@
     limiter = simulation.limiter_host.limiters[0]
     while not limiter.requests:
         simulation.run(simulation.clock.now + 10.0)
-    with pytest.raises(AssertionError, match="never answered"):
+    with pytest.raises(AssertionError, match="requests have no final outcome"):
         check_all_requests_ended(simulation)
     request = next(request for request in limiter.requests.values() if request.outcome is None)
     simulation.request_tracker.end_request(request, RequestOutcome.SERVED)
-    with pytest.raises(AssertionError, match="refused after served"):
+    with pytest.raises(AssertionError, match="second outcome refused after served"):
         simulation.request_tracker.end_request(request, RequestOutcome.REJECTED)
 
 
