--- a/scale/hollow/clients.py
+++ b/scale/hollow/clients.py
@@ -19,9 +19,9 @@
 class PlannedRequest:
     """A request that a client will send."""
 
-    customer: int
+    customer: int  # index of the customer
     limiter_number: int  # number of the limiter to send it to, unless clients know that it is down
-    request_class: int
+    request_class: int  # index of the request class
     work_ms: float  # ms of one core
     client_timeout: float  # ms
     is_retry: bool
--- a/scale/hollow/customers.py
+++ b/scale/hollow/customers.py
@@ -1,4 +1,4 @@
-"""Customers and all their first requests, which are drawn before the run."""
+"""Customers and their first requests (those that are not retries), which are drawn before the run."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 class Customer:
     """A customer and its set of limiters, whose numbers are consecutive modulo the number of limiters."""
 
-    plan: int
+    plan: int  # index of the plan
     limiter_set_start: int
     limiter_set_size: int
     quota: Quota
@@ -32,7 +32,7 @@
     times: list[float]
     customers: list[int]
     limiters: list[int]
-    classes: list[int]
+    classes: list[int]  # indices of request classes
     work_amounts_ms: list[float]  # ms of one core
     client_timeouts: list[float]  # ms
 
--- a/scale/hollow/discovery.py
+++ b/scale/hollow/discovery.py
@@ -18,7 +18,7 @@
     def __init__(self, clock: VirtualClock, experiment: HollowExperiment) -> None:
         """Create an empty endpoint list; changes are pushed to nobody until `subscribe` is called."""
         self.endpoints: dict[bytes, Endpoint] = {}
-        self.pushed_change_count = 0  # changes pushed so far, not multiplied by the number of limiters
+        self.pushed_change_count = 0  # each change counts once for all limiters
         self.is_down = False
         self._clock = clock
         self._parameters = experiment.discovery
@@ -59,7 +59,7 @@
             self._push(unpushed_changes)
 
     def _apply_change(self, endpoint: Endpoint, number: int) -> None:
-        # A later change may have been learnt of earlier.
+        # Delays vary, so that discovery may already have learnt of a later change.
         is_outdated = number < self._latest_change_numbers.get(endpoint.id, 0)
         if is_outdated:
             return
--- a/scale/hollow/network.py
+++ b/scale/hollow/network.py
@@ -38,7 +38,7 @@
 
 
 class Network:
-    """Delivers packets after one-way delays, and not at all to or from partitioned regions."""
+    """Delivers packets after one-way delays, except between regions that are partitioned."""
 
     def __init__(self, clock: VirtualClock, experiment: HollowExperiment) -> None:
         """Create a network without partitions, which draws delays from a random generator of its own."""
--- a/scale/hollow/plan.py
+++ b/scale/hollow/plan.py
@@ -138,7 +138,7 @@
     gossip_loss_rate: Fraction = msgspec.field(name="peer_loss", default=0.03)
     # Gossip datagrams per second that a limiter accepts. The limiters' settings have the same value.
     gossip_intake_per_second: PositiveFloat = msgspec.field(name="peer_intake", default=40.0)
-    # Gossip datagrams that a limiter accepts at once after it received none for a while.
+    # Capacity of the token bucket of this limit: the number of datagrams that a limiter accepts at once.
     gossip_intake_burst: PositiveFloat = msgspec.field(name="peer_intake_burst", default=40.0)
 
 
@@ -146,7 +146,7 @@
     """Capacity and latency of the shared counter."""
 
     calls_per_s: PositiveFloat = 450.0
-    # Number of queued calls from which on further calls are rejected.
+    # Maximum number of queued calls. Further calls are rejected.
     max_queue_length: PositiveInt = msgspec.field(name="queue", default=20)
     latency: FloatRange = (0.31, 1.8)
     # Time after which a call of a limiter times out.
@@ -171,7 +171,7 @@
 
     servers_per_limiter: PositiveFloat = msgspec.field(name="per_limiter")
     cores: PositiveInt = 2
-    # Number of queued requests from which on further requests are rejected.
+    # Maximum number of queued requests. Further requests are rejected.
     max_queue_length: PositiveInt = msgspec.field(name="queue", default=40)
     # Fraction of its full capacity that a server has when it starts.
     slow_start_capacity: Annotated[float, Meta(gt=0, le=1)] = msgspec.field(name="cold_capacity", default=0.3)
--- a/scale/hollow/result_lines.py
+++ b/scale/hollow/result_lines.py
@@ -43,7 +43,7 @@
     failed: int
     lost: int  # requests whose limiter was killed
     unreachable: int  # requests that were sent to a limiter that was down
-    by_driver: int  # requests that the driver ended at their deadline, as the policy engine had not
+    by_driver: int  # requests that the driver ended at their deadline, not the policy engine
     served_share: float | None
     refused_share: float | None
     refused_with_room_share: float | None  # share rejected while at least half the quota was unused
--- a/scale/hollow/tally.py
+++ b/scale/hollow/tally.py
@@ -74,11 +74,11 @@
         self.open_request_count += 1
 
     def record_request_closed(self) -> None:
-        """Record that a request that a limiter received has got its final outcome."""
+        """Record that a request that a limiter received has a final outcome."""
         self.open_request_count -= 1
 
     def record_request_ended_by_driver(self) -> None:
-        """Record that a limiter's driver ends a request at its deadline, as the policy engine had not."""
+        """Record that a driver ends a request at its deadline because the policy engine did not end it."""
         self.requests_ended_by_driver += 1
 
     def record_gossip_message(self) -> None:
