--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts on servers: sent for a limiter, and ended exactly once at it."""
+"""Attempts: sent from a limiter to a server, and ended exactly once at the limiter."""
 
 from __future__ import annotations
 
@@ -6,72 +6,85 @@
 
 from limiter.model.actions import SendAttempt
 from limiter.model.events import NOT_EXECUTED_OUTCOMES, AttemptEnded, Outcome
-from scale.hollow.context import Context
+from scale.hollow.context import SimulationContext
 from scale.hollow.requests import Attempt, Request, RequestOwner, RequestTracker
 from scale.hollow.server import Server
 from scale.hollow.tally import RequestOutcome
 
-# Time before a request's deadline in which no attempt times out by itself: the deadline ends it.
+# An attempt that would time out less than this before the request's deadline gets no timeout of its own,
+# because the deadline ends it.
 TIMEOUT_MARGIN_MS = 0.5
 
 
 class AttemptDriver:
-    """Sends attempts, carries servers' responses back, and reports to limiters how attempts ended."""
+    """Sends attempts to servers, returns the responses, and reports the outcomes to the policy engines."""
 
     def __init__(
         self,
-        context: Context,
-        servers: Mapping[bytes, Server],
-        ledger: RequestTracker,
+        context: SimulationContext,
+        servers_by_id: Mapping[bytes, Server],
+        request_tracker: RequestTracker,
     ) -> None:
-        """Take the servers by id, and the ledger of the requests that attempts are made for."""
+        """Create a driver for all limiters.
+
+        Args:
+            context: The objects that all parts of the simulation share.
+            servers_by_id: All servers, including those that are added later.
+            request_tracker: Records the outcomes of the requests.
+        """
         self._clock = context.clock
         self._network = context.network
         self._tally = context.tally
         self._gossip_ages = context.gossip_ages
         self._max_attempts = context.experiment.max_attempts
-        self._servers = servers
-        self._ledger = ledger
+        self._servers_by_id = servers_by_id
+        self._request_tracker = request_tracker
+
+    def send_attempt(self, limiter: RequestOwner, action: SendAttempt) -> None:
+        """Execute SendAttempt.
 
-    def send(self, limiter: RequestOwner, action: SendAttempt) -> None:
-        """Carry out SendAttempt; one for a request that is over ends at once with REQUEST_OVER."""
+        The attempt ends at once with REQUEST_ENDED if the request has its final outcome, has no time left or
+        has used up its attempts.
+        """
         request = limiter.requests.get(action.request_id)
         if request is None:
             return
         now = self._clock.now
         time_left = request.event.expires_at - now
         timeout = min(action.timeout, time_left) if action.timeout else time_left
-        attempt = Attempt(request, limiter, self._servers[action.endpoint_id], now, self._server_replied)
+        attempt = Attempt(
+            request, limiter, self._servers_by_id[action.endpoint_id], now, self._send_reply_to_limiter
+        )
         if request.outcome is not None or timeout <= 0 or attempt.number >= self._max_attempts:
-            request.attempt_began(attempt)
-            self._clock.call_at(now, self.end, attempt, Outcome.REQUEST_ENDED)
+            request.add_attempt(attempt)
+            self._clock.call_at(now, self.end_attempt, attempt, Outcome.REQUEST_ENDED)
             return
         if attempt.number == 0:
-            self._record_forwarded(attempt)
-        request.attempt_began(attempt)
-        self._tally.attempt_sent()
+            self._record_forwarded_request(attempt)
+        request.add_attempt(attempt)
+        self._tally.record_attempt_sent()
         server = attempt.server
         self._network.call_after_delay(limiter.zone, server.zone, server.receive_job, attempt)
         if timeout < time_left - TIMEOUT_MARGIN_MS:
-            self._clock.call_at(now + timeout, self.end, attempt, Outcome.TIMEOUT)
+            self._clock.call_at(now + timeout, self.end_attempt, attempt, Outcome.TIMEOUT)
 
-    def cancel(self, request: Request, number: int) -> None:
-        """Carry out CancelAttempt: the attempt ends at once; nothing if it has ended."""
-        for attempt in request.in_flight:
+    def cancel_attempt(self, request: Request, number: int) -> None:
+        """Execute CancelAttempt: end the attempt at once, unless it has already ended."""
+        for attempt in request.attempts_in_flight:
             if attempt.number == number:
-                self._clock.call_at(self._clock.now, self.end, attempt, Outcome.CANCELLED)
+                self._clock.call_at(self._clock.now, self.end_attempt, attempt, Outcome.CANCELLED)
 
-    def end(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt at its limiter and notify its policy engine; nothing if it has ended."""
-        if attempt.is_ended:
+    def end_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
+        """End an attempt at its limiter and notify the policy engine, unless it has already ended."""
+        if attempt.is_ended_at_limiter:
             return
-        self.release(attempt)
-        self._tally.attempt_ended(outcome)
+        self.release_attempt(attempt)
+        self._tally.record_attempt_outcome(outcome)
         request = attempt.request
         if outcome not in NOT_EXECUTED_OUTCOMES:
-            request.ran()
+            request.record_possible_execution()
         if outcome is Outcome.OK and request.outcome is None:
-            self._ledger.end_request(request, RequestOutcome.SERVED)
+            self._request_tracker.end_request(request, RequestOutcome.SERVED)
         event = AttemptEnded(
             request_id=request.event.id,
             attempt=attempt.number,
@@ -80,24 +93,26 @@
             latency=self._clock.now - attempt.sent_at,
             request_finished=request.outcome is not None,
         )
-        attempt.limiter.feed(event)
-        self._ledger.forget_if_over(attempt.limiter, request)
+        attempt.limiter.process_event(event)
+        self._request_tracker.remove_if_over(attempt.limiter, request)
 
-    def release(self, attempt: Attempt) -> None:
-        """Take an attempt off its limiter; a server that still works on it is notified."""
-        attempt.end()
-        if not attempt.is_over:
+    def release_attempt(self, attempt: Attempt) -> None:
+        """End an attempt at its limiter without an event; a server that still has it is told to drop it."""
+        attempt.end_at_limiter()
+        if not attempt.is_ended_at_server:
             server = attempt.server
             self._network.call_after_delay(attempt.limiter.zone, server.zone, server.remove_job, attempt)
 
-    def _server_replied(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Send a server's response to the limiter."""
-        self._network.call_after_delay(attempt.limiter.zone, attempt.server.zone, self.end, attempt, outcome)
+    def _send_reply_to_limiter(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Send a server's response to the limiter, which receives it after the network delay."""
+        self._network.call_after_delay(
+            attempt.limiter.zone, attempt.server.zone, self.end_attempt, attempt, outcome
+        )
 
-    def _record_forwarded(self, attempt: Attempt) -> None:
-        """Count a request's units when it is forwarded for the first time."""
+    def _record_forwarded_request(self, attempt: Attempt) -> None:
+        """Record the units of a request that is forwarded for the first time."""
         request = attempt.request
         now = self._clock.now
         units = request.event.units
-        self._tally.units_forwarded(now, units, request.quota.take_units(now, units))
+        self._tally.record_forwarded_units(now, units, request.quota.take_units(now, units))
         self._gossip_ages.record_usage(now, attempt.limiter.number, request.event.customer, units)
--- a/scale/hollow/clock.py
+++ b/scale/hollow/clock.py
@@ -1,4 +1,4 @@
-"""The virtual clock, in ms: callbacks that are due together run in the order of their scheduling."""
+"""The virtual clock, in ms. Callbacks that are due at the same time run in the order of their scheduling."""
 
 from __future__ import annotations
 
@@ -12,33 +12,37 @@
 
 
 class VirtualClock:
-    """Runs callbacks at virtual times; nothing waits for real time."""
+    """Runs callbacks in order of virtual time, without waiting for real time."""
 
     def __init__(self, start: float = 0.0) -> None:
-        """Start at a time in ms, with nothing scheduled."""
+        """Set the clock to `start`, in ms, with nothing scheduled."""
         self.now = start
-        self.run_limit = math.inf  # ms; time at which the present `run` ends
-        # By time, then by the order of scheduling: callbacks and their arguments.
-        self.queue: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
+        self.run_end = math.inf  # ms; the time up to which the current call of `run` runs
+        # Heap of (time, number in order of scheduling, callback, arguments).
+        self.scheduled_callbacks: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._scheduled_count = 0
 
     def call_at(self, time: float, callback: Callable[[*Arguments], None], *args: *Arguments) -> None:
         """Schedule `callback(*args)` at `time`, in ms."""
         self._scheduled_count += 1
-        heappush(self.queue, (time, self._scheduled_count, callback, args))
+        heappush(self.scheduled_callbacks, (time, self._scheduled_count, callback, args))
 
     def run(self, until: float) -> None:
-        """Run what is due up to and including `until`, in ms; the clock stands there afterwards."""
-        self.run_limit = until
-        queue = self.queue
-        while queue and queue[0][0] <= until:
-            self.now, _, callback, args = heappop(queue)
+        """Run the callbacks that are due up to and including `until`, in ms, and set the clock to `until`."""
+        self.run_end = until
+        scheduled_callbacks = self.scheduled_callbacks
+        while scheduled_callbacks and scheduled_callbacks[0][0] <= until:
+            self.now, _, callback, args = heappop(scheduled_callbacks)
             callback(*args)
         self.now = until
 
 
 class FanOut(Generic[ItemT]):
-    """Delivers one item to many receivers, each at its own time, with one entry of the queue at a time."""
+    """Delivers one item to many receivers, each at its own time.
+
+    Only the next delivery is scheduled on the clock, so that a delivery to many receivers takes one entry of
+    the clock's heap at a time.
+    """
 
     def __init__(
         self,
@@ -47,24 +51,27 @@
         deliver: Callable[[int, ItemT], None],
         item: ItemT,
     ) -> None:
-        """Schedule `deliver(receiver, item)` for all `deliveries`: (time, receiver) in order of time."""
+        """Schedule `deliver(receiver, item)` for each (time, receiver) in `deliveries`, sorted by time."""
         self._clock = clock
         self._deliveries = iter(deliveries)
         self._deliver = deliver
         self._item = item
-        self._next = next(self._deliveries, None)
-        if self._next is not None:
-            clock.call_at(self._next[0], self._run)
+        self._next_delivery = next(self._deliveries, None)
+        if self._next_delivery is not None:
+            clock.call_at(self._next_delivery[0], self._deliver_due_items)
+
+    def _deliver_due_items(self) -> None:
+        """Deliver the item until another callback is due first or the clock's run ends.
 
-    def _run(self) -> None:
-        """Deliver up to the next other entry of the queue, or up to the end of the clock's run."""
+        The next delivery after that is scheduled on the clock.
+        """
         clock = self._clock
-        queue = clock.queue
-        while self._next is not None:
-            time, receiver = self._next
-            if time > clock.run_limit or (queue and queue[0][0] < time):
-                clock.call_at(time, self._run)
+        scheduled_callbacks = clock.scheduled_callbacks
+        while self._next_delivery is not None:
+            time, receiver = self._next_delivery
+            if time > clock.run_end or (scheduled_callbacks and scheduled_callbacks[0][0] < time):
+                clock.call_at(time, self._deliver_due_items)
                 return
             clock.now = time
-            self._next = next(self._deliveries, None)
+            self._next_delivery = next(self._deliveries, None)
             self._deliver(receiver, self._item)
--- a/scale/hollow/customers.py
+++ b/scale/hollow/customers.py
@@ -1,4 +1,4 @@
-"""Customers, and all their first requests, drawn before the run."""
+"""Customers and their first requests (those that are not retries), which are drawn before the run."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from scale.hollow.plan import HollowExperiment, PlanParameters, Range, UsageParameters
+from scale.hollow.plan import FloatRange, HollowExperiment, PlanParameters, UsageParameters
 from scale.hollow.quota import Quota
 
 Floats = NDArray[np.float64]
@@ -16,40 +16,40 @@
 
 @dataclass(slots=True)
 class Customer:
-    """A customer and its set of limiters: consecutive numbers, modulo the number of limiters."""
+    """A customer and its set of limiters, whose numbers are consecutive modulo the number of limiters."""
 
-    plan: int
+    plan: int  # index of the plan
     limiter_set_start: int
     limiter_set_size: int
     quota: Quota
-    used_limiters: frozenset[int] = frozenset()  # limiters that its first requests come in through
+    used_limiters: frozenset[int] = frozenset()  # limiters that its first requests are sent to
 
 
 @dataclass(slots=True)
 class Arrivals:
-    """First requests in order of time; each list has one entry for each request."""
+    """All first requests in order of time. Each list has one entry per request."""
 
     times: list[float]
     customers: list[int]
     limiters: list[int]
-    classes: list[int]
-    works: list[float]  # ms of one core
+    classes: list[int]  # indices of request classes
+    work_amounts_ms: list[float]  # ms of one core
     client_timeouts: list[float]  # ms
 
 
 def draw_customers(experiment: HollowExperiment) -> tuple[list[Customer], Arrivals]:
-    """Draw customers, plan by plan, until each plan has its share of the request rate, and their requests."""
+    """Draw customers for each plan until it has its share of the request rate, and draw their requests."""
     rng = np.random.default_rng([experiment.seed, 1])
     customers: list[Customer] = []
     times: list[Floats] = []
     limiters: list[Integers] = []
-    total_rate = experiment.limiters * experiment.clients.requests_per_limiter
-    rate_per_share = total_rate / sum(plan.share for plan in experiment.plans)
-    for number, plan in enumerate(experiment.plans):
-        drawn_rate = 0.0
-        while drawn_rate < plan.share * rate_per_share:
-            customer, customer_times, customer_limiters = _draw_customer(rng, experiment, number, plan)
-            drawn_rate += 1000 * len(customer_times) / experiment.duration
+    total_request_rate = experiment.limiters * experiment.clients.request_rate_per_limiter
+    rate_per_share = total_request_rate / sum(plan.request_share for plan in experiment.plans)
+    for plan_number, plan in enumerate(experiment.plans):
+        drawn_request_rate = 0.0
+        while drawn_request_rate < plan.request_share * rate_per_share:
+            customer, customer_times, customer_limiters = _draw_customer(rng, experiment, plan_number, plan)
+            drawn_request_rate += 1000 * len(customer_times) / experiment.duration
             customers.append(customer)
             times.append(customer_times)
             limiters.append(customer_limiters)
@@ -57,77 +57,79 @@
 
 
 def _draw_customer(
-    rng: np.random.Generator, experiment: HollowExperiment, number: int, plan: PlanParameters
+    rng: np.random.Generator, experiment: HollowExperiment, plan_number: int, plan: PlanParameters
 ) -> tuple[Customer, Floats, Integers]:
-    """One customer of the plan with that number; times of its requests, and their limiters."""
-    times = _draw_times(rng, experiment.usage, plan.rate / 1000, experiment.duration)
-    low, high = experiment.clients.set_size
+    """Draw a customer of the plan with that number; return it with the times and limiters of its requests."""
+    times = _draw_request_times(rng, experiment.usage, plan.rate / 1000, experiment.duration)
+    low, high = experiment.clients.limiters_per_customer
     size = min(experiment.limiters, int(rng.integers(low, high + 1)))
     start = int(rng.integers(experiment.limiters))
     limiters = (start + _draw_set_members(rng, experiment, times, size)) % experiment.limiters
-    customer = Customer(number, start, size, Quota(plan), frozenset(limiters.tolist()))
+    customer = Customer(plan_number, start, size, Quota(plan), frozenset(limiters.tolist()))
     return customer, times, limiters
 
 
 def _draw_arrivals(
     rng: np.random.Generator, experiment: HollowExperiment, times: list[Floats], limiters: list[Integers]
 ) -> Arrivals:
-    """All customers' requests in order of time, with class, work and client timeout of each."""
+    """Merge the requests of all customers in order of time; draw the class, work and timeout of each."""
     all_times = np.concatenate(times)
     customers = np.repeat(np.arange(len(times)), [len(customer_times) for customer_times in times])
     order = np.argsort(all_times, kind="stable")
     count = len(all_times)
-    shares = np.array([request_class.share for request_class in experiment.classes])
+    shares = np.array([request_class.request_share for request_class in experiment.classes])
     classes = rng.choice(len(shares), count, p=shares / shares.sum())
-    mean_works = np.array([request_class.work for request_class in experiment.classes])
-    works = rng.exponential(1.0, count) * mean_works[classes]
+    mean_work_amounts_ms = np.array([request_class.mean_work_ms for request_class in experiment.classes])
+    work_amounts_ms = rng.exponential(1.0, count) * mean_work_amounts_ms[classes]
     deadlines = np.array([request_class.deadline for request_class in experiment.classes])
-    client_timeouts = rng.uniform(*experiment.clients.timeout_share, count) * deadlines[classes]
+    client_timeouts = rng.uniform(*experiment.clients.client_timeout_fraction, count) * deadlines[classes]
     return Arrivals(
         times=all_times[order].tolist(),
         customers=customers[order].tolist(),
         limiters=np.concatenate(limiters)[order].tolist(),
         classes=classes.tolist(),
-        works=works.tolist(),
+        work_amounts_ms=work_amounts_ms.tolist(),
         client_timeouts=client_timeouts.tolist(),
     )
 
 
-def _draw_times(rng: np.random.Generator, usage: UsageParameters, rate: float, duration: float) -> Floats:
-    """Times of one customer's requests, in order; `rate` is its plan's rate in units a ms."""
+def _draw_request_times(
+    rng: np.random.Generator, usage: UsageParameters, units_per_ms: float, duration: float
+) -> Floats:
+    """Draw the times of a customer's requests, in order; `units_per_ms` is the rate of its plan."""
 
-    def poisson(rate_factor: Range, begin: float, end: float) -> Floats:
-        mean = rate * rng.uniform(*rate_factor) * (end - begin)
+    def draw_poisson_times(rate_factor: FloatRange, begin: float, end: float) -> Floats:
+        mean = units_per_ms * rng.uniform(*rate_factor) * (end - begin)
         return np.asarray(rng.uniform(begin, end, rng.poisson(mean)))
 
     profile = rng.random()
     if profile < usage.full_share:
-        return np.sort(poisson(usage.full_usage, 0.0, duration))
+        return np.sort(draw_poisson_times(usage.full_usage, 0.0, duration))
     if profile < usage.full_share + usage.heavy_share:
-        return np.sort(poisson(usage.heavy_usage, 0.0, duration))
-    parts = [poisson(usage.calm_usage, 0.0, duration)]
+        return np.sort(draw_poisson_times(usage.heavy_usage, 0.0, duration))
+    times_by_part = [draw_poisson_times(usage.calm_usage, 0.0, duration)]
     if profile < usage.full_share + usage.heavy_share + usage.spiky_share:
         begin = rng.uniform(0.0, usage.spike_interval[1])
         while begin < duration:
             end = min(duration, begin + rng.uniform(*usage.spike_duration))
-            parts.append(poisson(usage.spike_usage, begin, end))
+            times_by_part.append(draw_poisson_times(usage.spike_usage, begin, end))
             begin += rng.uniform(*usage.spike_interval)
-    return np.sort(np.concatenate(parts))
+    return np.sort(np.concatenate(times_by_part))
 
 
 def _draw_set_members(
     rng: np.random.Generator, experiment: HollowExperiment, times: Floats, size: int
 ) -> Integers:
-    """Which limiter of the customer's set, from 0, each of its requests comes in through."""
+    """Draw for each request of a customer to which limiter of its set, counted from 0, it is sent."""
     clients = experiment.clients
-    if rng.random() < clients.single_share:
+    if rng.random() < clients.single_limiter_share:
         return np.full(len(times), rng.integers(size))
     weights = np.arange(1.0, size + 1) ** -rng.uniform(*clients.skew)
     weights /= weights.sum()
     members = np.zeros(len(times), dtype=np.int64)
     begin = 0.0
     while begin < experiment.duration:
-        end = begin + rng.uniform(*clients.shift_interval)
+        end = begin + rng.uniform(*clients.rank_change_interval)
         low, high = np.searchsorted(times, (begin, end))
         member_of_rank = rng.permutation(size)
         members[low:high] = member_of_rank[rng.choice(size, high - low, p=weights)]
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients and their attempts, from a request's arrival to its one final outcome."""
+"""Client requests and their attempts, from the arrival of a request to its one final outcome."""
 
 from __future__ import annotations
 
@@ -6,87 +6,87 @@
 from typing import Protocol
 
 from limiter.model.events import ClientRequest, Event, Outcome
-from scale.hollow.context import Context
+from scale.hollow.context import SimulationContext
 from scale.hollow.quota import Quota
 from scale.hollow.server import Server, ServerJob
 from scale.hollow.tally import RequestOutcome
 
 
 class RequestOwner(Protocol):
-    """The limiter that a request came in through, as far as requests and attempts know it."""
+    """The limiter that received a request, with the members that requests and attempts use."""
 
     @property
     def number(self) -> int:
-        """Number of the limiter within the fleet."""
+        """Return the number of the limiter within the fleet."""
 
     @property
     def zone(self) -> int:
-        """Zone that the limiter runs in."""
+        """Return the zone that the limiter runs in."""
 
     @property
     def requests(self) -> dict[int, Request]:
-        """Requests that are not over, by id."""
+        """Return, by id, the requests that have no final outcome or have attempts in flight."""
 
-    def feed(self, event: Event) -> None:
-        """Hand an event to the limiter's policy engine, and carry out the actions that it returns."""
+    def process_event(self, event: Event) -> None:
+        """Pass an event to the limiter's policy engine and execute the actions that it returns."""
 
 
 class Request:
-    """One request of a client, a first one or a retry, at one limiter."""
+    """A request of a client, either a first request or a retry, at one limiter."""
 
     __slots__ = (
-        "arrived",
+        "arrived_at",
         "attempt_count",
+        "attempts_in_flight",
         "event",
-        "in_flight",
         "may_have_run",
         "outcome",
         "quota",
-        "work",
+        "work_ms",
     )
 
-    def __init__(self, event: ClientRequest, arrived: float, quota: Quota, work: float) -> None:
-        """Wait for the final outcome, with no attempt made; `work` in ms of one core."""
+    def __init__(self, event: ClientRequest, arrived_at: float, quota: Quota, work_ms: float) -> None:
+        """Create a request without attempts or final outcome; `work_ms` is in ms of one core."""
         self.event = event
-        self.arrived = arrived
+        self.arrived_at = arrived_at
         self.quota = quota
-        self.work = work
+        self.work_ms = work_ms
         self.outcome: RequestOutcome | None = None
         self.attempt_count = 0
         self.may_have_run = False
-        self.in_flight: list[Attempt] = []
+        self.attempts_in_flight: list[Attempt] = []
 
-    def attempt_began(self, attempt: Attempt) -> None:
-        """Enter the next attempt of the request."""
+    def add_attempt(self, attempt: Attempt) -> None:
+        """Add the next attempt of the request to those in flight."""
         self.attempt_count += 1
-        self.in_flight.append(attempt)
+        self.attempts_in_flight.append(attempt)
         self.quota.record_attempt_start()
 
-    def attempt_ended(self, attempt: Attempt) -> None:
-        """Take an attempt that ended at the limiter off those in flight."""
-        self.in_flight.remove(attempt)
-        self.quota.attempt_ended()
+    def remove_attempt(self, attempt: Attempt) -> None:
+        """Remove an attempt that ended at the limiter from those in flight."""
+        self.attempts_in_flight.remove(attempt)
+        self.quota.record_attempt_end()
 
-    def ran(self) -> None:
-        """Note that an attempt may have run at its server, so that another one might repeat its effect."""
+    def record_possible_execution(self) -> None:
+        """Record that a server may have executed the request, so that a retry might repeat its effect."""
         self.may_have_run = True
 
-    def end(self, outcome: RequestOutcome) -> None:
-        """Set the one final outcome.
+    def set_outcome(self, outcome: RequestOutcome) -> None:
+        """Set the final outcome.
 
         Raises:
-            AssertionError: the request had ended before, which every simulation checks.
+            AssertionError: The request already has a final outcome. All simulations rely on this check.
         """
         if self.outcome is not None:
-            message = f"request {self.event.id}: {outcome.value} after {self.outcome.value}"
+            message = f"request {self.event.id}: second outcome {outcome.value} after {self.outcome.value}"
             raise AssertionError(message)
         self.outcome = outcome
 
 
 class Attempt(ServerJob):
-    """A request sent to a server: `is_over` if it ended there, `is_ended` if it ended at its limiter."""
+    """A request sent to a server. An attempt ends separately at the server and at its limiter."""
 
-    __slots__ = ("_on_reply", "is_ended", "limiter", "number", "request", "sent_at", "server")
+    __slots__ = ("_on_reply", "is_ended_at_limiter", "limiter", "number", "request", "sent_at", "server")
 
     def __init__(
         self,
@@ -96,58 +96,60 @@
         sent_at: float,
         on_reply: Callable[[Attempt, Outcome], None],
     ) -> None:
-        """Make the next attempt of the request; `on_reply` takes the server's response."""
-        super().__init__(request.work)
+        """Create the next attempt of the request; `on_reply` is called with the server's response."""
+        super().__init__(request.work_ms)
         self.request = request
         self.number = request.attempt_count
         self.limiter = limiter
         self.server = server
         self.sent_at = sent_at
-        self.is_ended = False
+        self.is_ended_at_limiter = False
         self._on_reply = on_reply
 
-    def end(self) -> None:
-        """End at the limiter, which passes over all that the server does from now on."""
-        self.is_ended = True
-        self.request.attempt_ended(self)
+    def end_at_limiter(self) -> None:
+        """End the attempt at the limiter, which ignores any later response of the server."""
+        self.is_ended_at_limiter = True
+        self.request.remove_attempt(self)
 
     def handle_reply(self, outcome: Outcome) -> None:
-        """Take the server's response, which leaves the server now."""
+        """Handle the server's response, which the server sends now."""
         self._on_reply(self, outcome)
 
 
 class RequestTracker:
-    """Gives requests their final outcomes, counts them, and forgets requests that are over."""
+    """Sets the final outcomes of requests, counts them, and removes requests that are over from limiters."""
 
-    def __init__(self, context: Context) -> None:
-        """Count into the context's tally."""
+    def __init__(self, context: SimulationContext) -> None:
+        """Create a tracker that counts in the tally of the context."""
         self._clock = context.clock
         self._tally = context.tally
 
-    def open(self, limiter: RequestOwner, request: Request) -> None:
-        """Enter a request that a limiter takes."""
+    def add_request(self, limiter: RequestOwner, request: Request) -> None:
+        """Add a request that a limiter receives."""
         limiter.requests[request.event.id] = request
-        self._tally.request_opened()
+        self._tally.record_request_opened()
 
     def end_request(self, request: Request, outcome: RequestOutcome) -> None:
-        """End a request for its client.
+        """End a request for its client with a final outcome.
 
         Raises:
-            AssertionError: it had ended before.
+            AssertionError: The request already has a final outcome.
         """
-        request.end(outcome)
-        self._tally.request_closed()
-        self._tally.request_ended(request.arrived, self._clock.now, outcome, request.event.is_retry)
-
-    def finish(self, limiter: RequestOwner, request_id: int, outcome: RequestOutcome) -> None:
-        """Carry out the policy engine's final outcome; one for a request that has its outcome is dropped."""
+        request.set_outcome(outcome)
+        self._tally.record_request_closed()
+        self._tally.record_request_outcome(
+            request.arrived_at, self._clock.now, outcome, request.event.is_retry
+        )
+
+    def apply_engine_outcome(self, limiter: RequestOwner, request_id: int, outcome: RequestOutcome) -> None:
+        """End a request with the policy engine's outcome, unless the request already has a final outcome."""
         request = limiter.requests.get(request_id)
         if request is None or request.outcome is not None:
             return
         self.end_request(request, outcome)
-        self.forget_if_over(limiter, request)
+        self.remove_if_over(limiter, request)
 
-    def forget_if_over(self, limiter: RequestOwner, request: Request) -> None:
-        """Forget a request that has its outcome and no attempt in flight."""
-        if request.outcome is not None and not request.in_flight:
+    def remove_if_over(self, limiter: RequestOwner, request: Request) -> None:
+        """Remove a request from its limiter if it has a final outcome and no attempt in flight."""
+        if request.outcome is not None and not request.attempts_in_flight:
             limiter.requests.pop(request.event.id, None)
