--- a/tests/configuration/test_settings_forms.py
+++ b/tests/configuration/test_settings_forms.py
@@ -13,17 +13,17 @@
 from limiter.configuration.settings_json import flatten_settings
 from limiter.configuration.settings_reader import SettingsReader, format_value, read_settings
 from limiter.model.settings import DedupScope, Idempotency, SettingsError
-from tests.support.limiter_settings import configuration, settings
+from tests.support.limiter_settings import make_raw_config, make_raw_settings
 
 
 def read_json(**changes: Any) -> SettingsReader:
     """Return a reader of JSON settings with these top-level keys changed."""
-    return SettingsReader(flatten_settings(settings(**changes)))
+    return SettingsReader(flatten_settings(make_raw_settings(**changes)))
 
 
 def test_nested_settings_are_read_like_the_simulators_lines() -> None:
     """One reader reads both forms, to the same settings."""
-    values = flatten_settings(settings())
+    values = flatten_settings(make_raw_settings())
     lines = [f"{path}={format_value(value)}" for path, value in values.items()]
     assert "classes.count=3" in lines
     assert "classes.1.effect=by_key" in lines
@@ -33,7 +33,7 @@
     parsed = read_settings(SettingsReader(decode_settings_text("\n".join(lines).encode())))
     assert parsed.request_classes[1].idempotency is Idempotency.IDEMPOTENCY_KEY
     assert parsed.request_classes[1].dedup_scope is DedupScope.ZONE
-    assert parse_config(configuration()).settings == parsed
+    assert parse_config(make_raw_config()).settings == parsed
 
 
 @pytest.mark.parametrize(
@@ -106,6 +106,6 @@
 def test_text_that_utf_8_cannot_encode_is_an_error_of_the_settings() -> None:
     """The message gives the place in the settings as lines."""
     with pytest.raises(ConfigError) as raised:
-        parse_config(configuration(settings={"a": 1, "b": "\ud800"}))
+        parse_config(make_raw_config(settings={"a": 1, "b": "\ud800"}))
     place = "character '\\ud800' in position 6: surrogates not allowed"
     assert str(raised.value) == f"settings: 'utf-8' codec can't encode {place}"
--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -6,7 +6,7 @@
 
 from limiter.policy.customer import Customer
 from tests.support.policy_driver import PolicyDriver, make_driver
-from tests.support.policy_scenarios import make_wide_driver, sampled_customer
+from tests.support.policy_scenarios import make_sampled_customer, make_widely_shared_driver
 
 
 @pytest.fixture
@@ -18,10 +18,10 @@
 @pytest.fixture
 def customer(driver: PolicyDriver) -> Customer:
     """Customer 1 of `driver`, after one usage sample."""
-    return sampled_customer(driver)
+    return make_sampled_customer(driver)
 
 
 @pytest.fixture
 def wide_driver() -> PolicyDriver:
     """A limiter whose share of a customer's burst is below one request."""
-    return make_wide_driver()
+    return make_widely_shared_driver()
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -22,7 +22,7 @@
     rejections = [
         action
         for request_id in range(100, 120)
-        for action in driver.request(request_id, units=2.25)
+        for action in driver.send_request(request_id, units=2.25)
         if isinstance(action, RejectRequest)
     ]
     assert rejections
@@ -35,7 +35,7 @@
     housekeeping.schedule(0.0, 500.0, customer)
     driver.engine.context.take_actions()
     driver.now = 100.0
-    assert driver.feed(TimerFired(TimerToken.HOUSEKEEPING)) == []
+    assert driver.deliver_event(TimerFired(TimerToken.HOUSEKEEPING)) == []
     assert housekeeping.take_due(500.0) == [customer]
 
 
@@ -44,6 +44,6 @@
     driver = make_driver(polls_discovery=True)
     assert PollDiscovery() in driver.actions
     driver.actions.clear()
-    driver.feed(DiscoveryPollFailed())
+    driver.deliver_event(DiscoveryPollFailed())
     driver.advance_to(driver.now + 2000.0)
     assert PollDiscovery() in driver.actions
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -10,8 +10,8 @@
 from limiter.model.events import Outcome
 from limiter.model.settings import RequestClass
 from limiter.policy.outlier_detection import FIRST_EJECTION_MS, MAX_EJECTION_JITTER
-from tests.support.policy_driver import PolicyDriver, SentAttempt, endpoint_id, make_driver
-from tests.support.policy_scenarios import NO_QUOTA, first_endpoints
+from tests.support.policy_driver import PolicyDriver, SentAttempt, make_driver, make_endpoint_id
+from tests.support.policy_scenarios import PLANS_WITHOUT_QUOTA, collect_first_attempt_endpoints
 
 FAILURES_TO_EJECT = 4
 FAST_MS = 1.0  # Latency of a server that the cost prefers,
@@ -35,7 +35,7 @@
             max_attempts=1,
             slow_start_duration=0.0,
             request_classes=(RequestClass(500.0, 2000.0),),
-            plans=NO_QUOTA,
+            plans=PLANS_WITHOUT_QUOTA,
         )
         self.pending: list[tuple[SentAttempt, Outcome, bool]] = []
 
@@ -51,18 +51,18 @@
         for _ in range(rounds):
             for sent in self._send_request():
                 attempts[sent.endpoint_id] += 1
-                is_first = sent.endpoint_id == endpoint_id(0)
+                is_first = sent.endpoint_id == make_endpoint_id(0)
                 outcome = outcome_at_first if is_first else Outcome.OK
                 self.pending.append((sent, outcome, is_first and stale_connection))
             while len(self.pending) > ATTEMPTS_IN_FLIGHT:
                 self._end_oldest()
-        return attempts[endpoint_id(0)] / attempts.total()
+        return attempts[make_endpoint_id(0)] / attempts.total()
 
     def lose_a_response(self) -> None:
         """Send requests until one goes to server 0; that attempt never ends, while those after it do."""
         for _ in range(100):
             for sent in self._send_request():
-                if sent.endpoint_id == endpoint_id(0):
+                if sent.endpoint_id == make_endpoint_id(0):
                     return
                 self.pending.append((sent, Outcome.OK, False))
             while len(self.pending) > ATTEMPTS_IN_FLIGHT:
@@ -72,8 +72,10 @@
     def _send_request(self) -> list[SentAttempt]:
         self.driver.now += ROUND_MS
         request_id = len(self.driver.requests) + 1
-        self.driver.request(request_id, customer=request_id % 5, size=1.0, patience=2000.0)
-        return self.driver.sent.get(request_id, [])
+        self.driver.send_request(
+            request_id, customer=request_id % 5, limiters_in_set=1.0, client_timeout=2000.0
+        )
+        return self.driver.sent_attempts.get(request_id, [])
 
     def _end_oldest(self) -> None:
         sent, outcome, is_stale = self.pending.pop(0)
@@ -112,17 +114,17 @@
 @pytest.fixture
 def four_servers() -> PolicyDriver:
     """A lone limiter with four servers, without a quota and without retries."""
-    return make_driver(server_count=4, limiter_count=1, max_attempts=1, plans=NO_QUOTA)
+    return make_driver(server_count=4, limiter_count=1, max_attempts=1, plans=PLANS_WITHOUT_QUOTA)
 
 
 def fill_servers(driver: PolicyDriver) -> list[SentAttempt]:
     """Make requests until each server has attempts in flight that would eject it if they all failed."""
     for _ in range(500):
         request_id = len(driver.requests) + 1
-        driver.request(request_id, customer=request_id)
-        counts = Counter(sent.endpoint_id for sent in driver.in_flight())
+        driver.send_request(request_id, customer=request_id)
+        counts = Counter(sent.endpoint_id for sent in driver.list_attempts_in_flight())
         if all(counts[server] >= FAILURES_TO_EJECT for server in driver.endpoints):
-            return driver.in_flight()
+            return driver.list_attempts_in_flight()
     pytest.fail("some server gets too few attempts")
 
 
@@ -131,7 +133,7 @@
 
     After 4 failures in a row, at weight 0.2 each, the failure rate is 0.59: it ejects, after 3 it would not.
     """
-    ejected = {endpoint_id(index) for index in indexes}
+    ejected = {make_endpoint_id(index) for index in indexes}
     for sent in fill_servers(driver):
         driver.end_attempt(sent, Outcome.OK, FAST_MS)
     failures: Counter[bytes] = Counter()
@@ -148,8 +150,8 @@
 def send_one(driver: PolicyDriver) -> SentAttempt:
     """Make a request; return its attempt."""
     request_id = len(driver.requests) + 1
-    driver.request(request_id, customer=request_id)
-    [sent] = driver.sent[request_id]
+    driver.send_request(request_id, customer=request_id)
+    [sent] = driver.sent_attempts[request_id]
     return sent
 
 
@@ -159,32 +161,34 @@
     eject(driver, {0})
     for _ in range(20):
         sent = send_one(driver)
-        assert sent.endpoint_id != endpoint_id(0)
+        assert sent.endpoint_id != make_endpoint_id(0)
         driver.end_attempt(sent, Outcome.OK, SLOW_MS)
     driver.now += MAX_EJECTION_JITTER * FIRST_EJECTION_MS + 1.0
-    assert send_one(driver).endpoint_id == endpoint_id(0)
-    assert send_one(driver).endpoint_id != endpoint_id(0)  # There is one probe at a time.
+    assert send_one(driver).endpoint_id == make_endpoint_id(0)
+    assert send_one(driver).endpoint_id != make_endpoint_id(0)  # There is one probe at a time.
 
 
 def test_no_server_is_excluded_where_most_are_outliers(four_servers: PolicyDriver) -> None:
     """A fault that most share is not theirs."""
     eject(four_servers, {0, 1, 2})
-    assert first_endpoints(four_servers, range(1000, 1020)) - {endpoint_id(3)}
+    assert collect_first_attempt_endpoints(four_servers, range(1000, 1020)) - {make_endpoint_id(3)}
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_an_ejection_doubles_with_each_failed_probe_up_to_its_cap(seed: int) -> None:
     """Each lasts its nominal length, 1 s at first and 8 s at most, times a draw from 0.8 to 1.2."""
-    driver = make_driver(server_count=2, seed=seed, limiter_count=1, max_attempts=1, plans=NO_QUOTA)
+    driver = make_driver(
+        server_count=2, seed=seed, limiter_count=1, max_attempts=1, plans=PLANS_WITHOUT_QUOTA
+    )
     eject(driver, {0})
     for seconds in (1, 2, 4, 8, 8, 8):
         ejected_at = driver.now
         driver.now = ejected_at + 800.0 * seconds - 0.001
         other = send_one(driver)
-        assert other.endpoint_id == endpoint_id(1), "the ejection is too short"
+        assert other.endpoint_id == make_endpoint_id(1), "the ejection is too short"
         # With this attempt still in flight the other server costs more.
         driver.now = ejected_at + 1200.0 * seconds
         probe = send_one(driver)
-        assert probe.endpoint_id == endpoint_id(0), "the ejection is too long"
+        assert probe.endpoint_id == make_endpoint_id(0), "the ejection is too long"
         driver.end_attempt(other, Outcome.OK, SLOW_MS)
         driver.end_attempt(probe, Outcome.ERROR, FAST_MS)
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -9,8 +9,8 @@
 from limiter.policy.customer import Customer
 from limiter.policy.engine import PolicyEngine
 from limiter.policy.throttle import MIN_ADMISSION_PROBABILITY, TARGET_UTILIZATION, UTILIZATION_EWMA_WEIGHT
-from tests.support.policy_driver import PolicyDriver, make_driver, settings
-from tests.support.policy_scenarios import counter_key_of, sampled_customer
+from tests.support.policy_driver import PolicyDriver, make_driver, make_settings
+from tests.support.policy_scenarios import get_counter_key, make_sampled_customer
 
 SAMPLE_AFTER_MS = 400.0
 
@@ -62,8 +62,8 @@
 ) -> None:
     """The probability decides on requests beyond the bucket only."""
     customer.usage.set_probability(MIN_ADMISSION_PROBABILITY)
-    driver.request(2)
-    assert driver.sent[2]
+    driver.send_request(2)
+    assert driver.sent_attempts[2]
 
 
 def test_remote_usage_empties_the_bucket_and_new_requests_are_rejected(
@@ -73,36 +73,36 @@
     driver.now += 500.0
     driver.record_remote_usage(customer, 40.0)
     customer.usage.set_probability(MIN_ADMISSION_PROBABILITY)
-    driver.request(3)
-    assert driver.answered.get(3) == "RejectRequest"
+    driver.send_request(3)
+    assert driver.final_answers.get(3) == "RejectRequest"
 
 
 def test_counter_calls_are_batched_while_the_bucket_is_well_filled() -> None:
     """One call reports the units of ten requests."""
     driver = make_driver(plans=(QuotaPlan(rate=100.0, burst=400.0),))
-    sampled_customer(driver)
-    driver.counter_calls.clear()
+    make_sampled_customer(driver)
+    driver.pending_counter_calls.clear()
     for request_id in range(2, 12):
         driver.advance_to(driver.now + 5.0)
-        driver.request(request_id)
-        driver.complete_in_flight()
-    assert not driver.counter_calls
+        driver.send_request(request_id)
+        driver.complete_attempts_in_flight()
+    assert not driver.pending_counter_calls
     driver.advance_to(driver.now + 1200.0)
-    assert [call.units_to_add for call in driver.counter_calls] == [10.0]
+    assert [call.units_to_add for call in driver.pending_counter_calls] == [10.0]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.REJECTED, Outcome.CONNECT_FAILED])
 def test_without_a_counter_the_local_split_of_the_quota_passes(outcome: Outcome) -> None:
     """Each limiter takes its even part of the quota, no more and not much less."""
     driver = make_driver()
-    sampled_customer(driver)
+    make_sampled_customer(driver)
     forwarded = 0
     for request_id in range(2, 1000):  # 50 requests a second for 20 s, of a quota of 10 shared by three
         driver.advance_to(driver.now + 20.0)
-        driver.request(request_id)
-        forwarded += bool(driver.sent.get(request_id))
-        driver.complete_in_flight()
-        driver.answer_all_calls(outcome)
+        driver.send_request(request_id)
+        forwarded += bool(driver.sent_attempts.get(request_id))
+        driver.complete_attempts_in_flight()
+        driver.reply_to_all_counter_calls(outcome)
     assert forwarded <= 1.3 * (10.0 / 3 * 20.0 + 20.0)
     assert forwarded >= 0.8 * 10.0 / 3 * 20.0
 
@@ -113,10 +113,10 @@
     called_at: list[float] = []
     for request_id in range(2, 1000):
         driver.advance_to(driver.now + 20.0)
-        driver.request(request_id)
-        driver.complete_in_flight()
-        called_at += [driver.now] * len(driver.counter_calls)
-        driver.answer_all_calls(Outcome.TIMEOUT)
+        driver.send_request(request_id)
+        driver.complete_attempts_in_flight()
+        called_at += [driver.now] * len(driver.pending_counter_calls)
+        driver.reply_to_all_counter_calls(Outcome.TIMEOUT)
     calls_at_first = sum(at < called_at[0] + 2000.0 for at in called_at)
     calls_at_last = sum(at > driver.now - 2000.0 for at in called_at)
     assert calls_at_last < calls_at_first
@@ -134,11 +134,11 @@
     second_call_at = driver.now + 1000.0
     customer.report.set_unreported(5.0)
     sampler.call_counter(first_call_at, customer)
-    engine.handle(first_call_at, CounterReply(counter_key_of(customer), Outcome.TIMEOUT, 0.0, 50.0))
+    engine.handle(first_call_at, CounterReply(get_counter_key(customer), Outcome.TIMEOUT, 0.0, 50.0))
     customer.report.delay_next_call(until=0.0)
     sampler.call_counter(second_call_at, customer)
     total = customer.report.last_total_units + (5.0 if was_added else 0.0)
-    engine.handle(second_call_at, CounterReply(counter_key_of(customer), Outcome.OK, total, 2.0))
+    engine.handle(second_call_at, CounterReply(get_counter_key(customer), Outcome.OK, total, 2.0))
     assert customer.report.unreported_units == still_unreported
 
 
@@ -151,7 +151,7 @@
     tokens_before = customer.usage.tokens
     driver.now += 500.0
     driver.engine.usage_sampler.call_counter(driver.now, customer)
-    driver.engine.handle(driver.now, CounterReply(counter_key_of(customer), Outcome.OK, 2.0, 2.0))
+    driver.engine.handle(driver.now, CounterReply(get_counter_key(customer), Outcome.OK, 2.0, 2.0))
     assert customer.report.last_total_units == 2.0
     assert customer.usage.tokens <= tokens_before + 5.0  # the bucket is not filled anew
     assert customer.report.consecutive_failed_calls == 0
@@ -160,8 +160,8 @@
 def test_a_reply_for_an_unknown_counter_key_changes_nothing(driver: PolicyDriver, customer: Customer) -> None:
     """No call under that key is in flight."""
     before = str(customer)
-    assert driver.feed(CounterReply(12345, Outcome.OK, 9.0, 1.0)) == []
-    assert str(driver.customer_record()) == before
+    assert driver.deliver_event(CounterReply(12345, Outcome.OK, 9.0, 1.0)) == []
+    assert str(driver.get_customer()) == before
 
 
 def test_metered_utilization_replaces_the_counter() -> None:
@@ -169,19 +169,19 @@
     driver = make_driver(has_counter=False, meter_period=1000.0)
     for request_id in range(200):
         driver.advance_to(driver.now + 50.0)
-        driver.request(request_id)
-        for sent in driver.in_flight():
+        driver.send_request(request_id)
+        for sent in driver.list_attempts_in_flight():
             driver.end_attempt(sent, Outcome.OK, 50.0, metered_utilization=3.0)
-    assert not driver.counter_calls
-    assert driver.customer_record().usage.probability < 0.2
+    assert not driver.pending_counter_calls
+    assert driver.get_customer().usage.probability < 0.2
 
 
 def test_billed_units_replace_the_estimate() -> None:
     """Five units more than the one unit that was estimated."""
     driver = make_driver(is_post_paid=True)
-    customer = sampled_customer(driver)
-    driver.request(2)
-    [sent] = driver.in_flight()
+    customer = make_sampled_customer(driver)
+    driver.send_request(2)
+    [sent] = driver.list_attempts_in_flight()
     tokens_before = customer.usage.tokens
     driver.end_attempt(sent, Outcome.OK, 50.0, billed_units=6.0)
     assert customer.usage.tokens == pytest.approx(tokens_before - 5.0)
@@ -191,21 +191,21 @@
     """The plan allows three at once."""
     driver = make_driver(server_count=40)
     for request_id in range(10):
-        driver.request(request_id, plan=2)
-    assert 1 <= sum(sent.request_id < 10 for sent in driver.in_flight()) <= 4
+        driver.send_request(request_id, plan=2)
+    assert 1 <= sum(sent.request_id < 10 for sent in driver.list_attempts_in_flight()) <= 4
 
 
 def test_idle_customers_are_forgotten(driver: PolicyDriver) -> None:
     """What is held of customers does not grow with all that ever came."""
     for request_id in range(50):
-        driver.request(request_id, customer=request_id)
-        driver.complete_in_flight()
-        driver.answer_all_calls(Outcome.OK, 1.0)
+        driver.send_request(request_id, customer=request_id)
+        driver.complete_attempts_in_flight()
+        driver.reply_to_all_counter_calls(Outcome.OK, 1.0)
     for request_id in range(100, 250):  # of one customer; each request lets one idle customer go
         driver.advance_to(driver.now + 1000.0)
-        driver.request(request_id, customer=1000)
-        driver.complete_in_flight()
-        driver.answer_all_calls(Outcome.OK, 1.0)
+        driver.send_request(request_id, customer=1000)
+        driver.complete_attempts_in_flight()
+        driver.reply_to_all_counter_calls(Outcome.OK, 1.0)
     customers = driver.engine.customers.table
     assert list(customers.records) == [1000]
     assert driver.engine.usage_sampler.calls_in_flight == 0
@@ -216,7 +216,7 @@
 def test_an_error_in_the_settings_names_the_setting(name: str, value: float) -> None:
     """An operator finds the key in the configuration."""
     with pytest.raises(ValueError, match=name):
-        PolicyEngine(settings(**{name: value}), 1)
+        PolicyEngine(make_settings(**{name: value}), 1)
 
 
 def test_a_customer_without_a_sample_gets_the_local_split_while_the_counter_rejects_calls(
@@ -225,7 +225,7 @@
     """Recorded incident i86e056: the first call was rejected, and the probability stayed 1."""
     for request_id in range(500):
         driver.advance_to(driver.now + 20.0)
-        driver.request(request_id)
-        driver.complete_in_flight()
-        driver.answer_all_calls(Outcome.REJECTED)
-    assert driver.customer_record().usage.probability < 0.2
+        driver.send_request(request_id)
+        driver.complete_attempts_in_flight()
+        driver.reply_to_all_counter_calls(Outcome.REJECTED)
+    assert driver.get_customer().usage.probability < 0.2
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -5,43 +5,43 @@
 import pytest
 
 from limiter.model.events import Outcome
-from tests.support.policy_driver import endpoint_id, make_driver
-from tests.support.policy_scenarios import NO_QUOTA
+from tests.support.policy_driver import make_driver, make_endpoint_id
+from tests.support.policy_scenarios import PLANS_WITHOUT_QUOTA
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_retry_goes_to_another_server_although_it_costs_more(seed: int) -> None:
     """The failed one may be cheap just because it fails at once."""
-    driver = make_driver(server_count=2, seed=seed, plans=NO_QUOTA)
-    latencies = {endpoint_id(0): 10.0, endpoint_id(1): 9000.0}
+    driver = make_driver(server_count=2, seed=seed, plans=PLANS_WITHOUT_QUOTA)
+    latencies = {make_endpoint_id(0): 10.0, make_endpoint_id(1): 9000.0}
     for request_id in range(10, 20):
-        driver.request(request_id, customer=request_id)
-        for sent in driver.in_flight():
+        driver.send_request(request_id, customer=request_id)
+        for sent in driver.list_attempts_in_flight():
             driver.end_attempt(sent, Outcome.OK, latencies[sent.endpoint_id])
-    driver.request(1)
-    [failed] = driver.in_flight()
+    driver.send_request(1)
+    [failed] = driver.list_attempts_in_flight()
     driver.end_attempt(failed, Outcome.ERROR, 1.0)
-    first, second = driver.sent[1]
+    first, second = driver.sent_attempts[1]
     assert first.endpoint_id != second.endpoint_id
 
 
 def test_an_attempt_times_out_at_half_the_objective_while_there_is_retry_budget() -> None:
     """Late enough for most answers, and early enough for a retry within the objective."""
-    driver = make_driver(plans=NO_QUOTA)
-    driver.request(1)
-    [first] = driver.in_flight()
+    driver = make_driver(plans=PLANS_WITHOUT_QUOTA)
+    driver.send_request(1)
+    [first] = driver.list_attempts_in_flight()
     assert first.timeout == 500.0
     driver.end_attempt(first, Outcome.CONNECT_FAILED, 1.0)  # Its retry spends the budget.
-    driver.request(2, customer=2)
-    assert driver.sent[2][0].timeout == 1000.0
+    driver.send_request(2, customer=2)
+    assert driver.sent_attempts[2][0].timeout == 1000.0
 
 
 def test_the_retry_budget_bounds_retries_to_a_quarter_of_the_requests() -> None:
     """Retries may not multiply the load of a fleet that fails."""
-    driver = make_driver(server_count=8, plans=NO_QUOTA)
+    driver = make_driver(server_count=8, plans=PLANS_WITHOUT_QUOTA)
     for request_id in range(100):
-        driver.request(request_id, customer=request_id)
-        while driver.in_flight():
-            driver.end_attempt(driver.in_flight()[0], Outcome.CONNECT_FAILED, 1.0)
-    attempts = sum(len(attempts) for attempts in driver.sent.values())
+        driver.send_request(request_id, customer=request_id)
+        while driver.list_attempts_in_flight():
+            driver.end_attempt(driver.list_attempts_in_flight()[0], Outcome.CONNECT_FAILED, 1.0)
+    attempts = sum(len(attempts) for attempts in driver.sent_attempts.values())
     assert 100 < attempts <= 125
--- a/tests/policy/test_usage_gossip.py
+++ b/tests/policy/test_usage_gossip.py
@@ -11,7 +11,7 @@
 from limiter.policy.context import EngineContext
 from limiter.policy.gossiped_usage import CUSTOMER_IDLE_TIMEOUT_MS
 from limiter.policy.usage_gossip import MAX_INTAKE_FRACTION, MAX_INTERVALS_WITHOUT_MESSAGE, UsageGossip
-from tests.support.policy_driver import PolicyDriver, make_driver, settings
+from tests.support.policy_driver import PolicyDriver, make_driver, make_settings
 
 RATE_PLAN, CONCURRENCY_PLAN = 0, 1  # indexes into PLANS
 PLANS = (QuotaPlan(rate=2.0, burst=8.0), QuotaPlan(max_concurrency=4))
@@ -23,7 +23,7 @@
 
 def gossip_settings(limiters: int = LIMITERS, **changes: object) -> Settings:
     """Settings of a limiter that may gossip, with the default plans unless `changes` has others."""
-    return settings(
+    return make_settings(
         limiter_count=limiters, may_gossip=True, gossip_intake_per_second=INTAKE_PER_SECOND, **changes
     )
 
@@ -57,17 +57,17 @@
 
 def receive(driver: PolicyDriver, body: bytes, sender: int = 5) -> None:
     """Hand a message of the limiter `sender` to the engine."""
-    driver.feed(GossipReceived(sender, body))
+    driver.deliver_event(GossipReceived(sender, body))
 
 
 def request(driver: PolicyDriver, request_id: int = 1, plan_index: int = RATE_PLAN) -> None:
     """A request of CUSTOMER, whose set of limiters makes each see little of its use."""
-    driver.request(request_id, customer=CUSTOMER, plan=plan_index, size=30.0)
+    driver.send_request(request_id, customer=CUSTOMER, plan=plan_index, limiters_in_set=30.0)
 
 
 def request_of_other_customer(driver: PolicyDriver, request_id: int) -> None:
     """A request of a customer that has no other."""
-    driver.request(request_id, customer=100 + request_id, plan=RATE_PLAN, size=30.0)
+    driver.send_request(request_id, customer=100 + request_id, plan=RATE_PLAN, limiters_in_set=30.0)
 
 
 @pytest.mark.parametrize("limiters", [2, 3, 40, 400])
@@ -121,8 +121,8 @@
     driver = make_limiter()
     receive(driver, peer_message(units=1))
     request(driver)
-    assert driver.sent[1]
-    assert not driver.counter_calls
+    assert driver.sent_attempts[1]
+    assert not driver.pending_counter_calls
 
 
 def test_use_reported_by_peers_empties_the_bucket_here() -> None:
@@ -131,8 +131,8 @@
     for sender in range(2, 12):
         receive(driver, peer_message(units=1), sender)
     request(driver)
-    assert driver.answered[1] == "RejectRequest"
-    assert not driver.counter_calls
+    assert driver.final_answers[1] == "RejectRequest"
+    assert not driver.pending_counter_calls
 
 
 @pytest.mark.parametrize(
@@ -142,9 +142,9 @@
     driver = make_limiter()
     receive(driver, peer_message(units=4))
     request(driver)
-    assert driver.counter_calls[0].units_to_add == 1.0
-    driver.answer_counter(Outcome.OK, slot_total)
-    assert bool(driver.sent.get(1)) == is_forwarded  # half of the burst passes in a slot
+    assert driver.pending_counter_calls[0].units_to_add == 1.0
+    driver.reply_to_counter_call(Outcome.OK, slot_total)
+    assert bool(driver.sent_attempts.get(1)) == is_forwarded  # half of the burst passes in a slot
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.REJECTED, Outcome.CONNECT_FAILED])
@@ -152,10 +152,10 @@
     driver = make_limiter()
     receive(driver, peer_message(units=4))
     request(driver)
-    driver.answer_counter(outcome)
-    assert driver.sent[1]
+    driver.reply_to_counter_call(outcome)
+    assert driver.sent_attempts[1]
     driver.advance_to(driver.now + 2000.0)
-    assert not driver.counter_calls  # what the slot counted is of no use to a later one
+    assert not driver.pending_counter_calls  # what the slot counted is of no use to a later one
 
 
 def test_the_probability_falls_with_the_reported_use_and_recovers() -> None:
@@ -180,8 +180,8 @@
         driver.now + (MAX_INTERVALS_WITHOUT_MESSAGE + 0.1) * driver.engine.usage_gossip.interval
     )
     request(driver)
-    assert 1 not in driver.sent  # held for the counter, as where limiters may not gossip
-    assert len(driver.counter_calls) == 1
+    assert 1 not in driver.sent_attempts  # held for the counter, as where limiters may not gossip
+    assert len(driver.pending_counter_calls) == 1
     assert driver.engine.usage_gossip.peer_load.message_weight < 0.05  # of one limiter, this one
 
 
@@ -215,7 +215,7 @@
         receive(driver, peer_message(in_flight=peer_in_flight, latency=200.0), sender)
     for request_id in range(12):
         request_of_other_customer(driver, request_id)
-    return sum(answer == "RejectRequest" for answer in driver.answered.values())
+    return sum(answer == "RejectRequest" for answer in driver.final_answers.values())
 
 
 def test_one_limiter_with_more_in_flight_than_its_peers_sheds_no_load() -> None:
@@ -233,10 +233,10 @@
     for request_id in range(20):
         request_of_other_customer(driver, request_id)
         driver.now += 25.0
-        attempts = driver.sent.get(request_id)
+        attempts = driver.sent_attempts.get(request_id)
         if attempts:
             driver.end_attempt(attempts[0], Outcome.OK, 25.0)
-    return sum(bool(driver.sent.get(request_id)) for request_id in range(20))
+    return sum(bool(driver.sent_attempts.get(request_id)) for request_id in range(20))
 
 
 def test_load_reported_a_while_ago_no_longer_sheds_requests() -> None:
@@ -249,13 +249,13 @@
 def test_what_was_forwarded_is_sent_within_an_interval() -> None:
     driver = make_limiter()
     request(driver)
-    driver.end_attempt(driver.sent[1][0], Outcome.OK, 50.0)
+    driver.end_attempt(driver.sent_attempts[1][0], Outcome.OK, 50.0)
     driver.advance_to(driver.now + 2000.0)
     [body] = [action.body for action in driver.actions if isinstance(action, BroadcastGossip)]
     one_unit = CUSTOMER << 7 | 1
     assert body[HEADER.size + GROUP_HEADER.size :] == one_unit.to_bytes(5)
     driver.advance_to(driver.now + 60000.0)
-    assert not driver.timers  # an idle limiter sends nothing
+    assert not driver.pending_timers  # an idle limiter sends nothing
 
 
 @pytest.mark.parametrize("customers", [1, 2])
--- a/tests/policy/test_usage_sampling.py
+++ b/tests/policy/test_usage_sampling.py
@@ -8,7 +8,7 @@
 from limiter.policy.admission_rules import DECISION_WEIGHT
 from limiter.policy.customer import Customer
 from tests.support.policy_driver import PolicyDriver
-from tests.support.policy_scenarios import counter_key_of, request_wide
+from tests.support.policy_scenarios import get_counter_key, send_widely_shared_request
 
 
 def test_after_failed_calls_the_total_counts_where_it_exceeds_the_local_split(
@@ -19,12 +19,12 @@
     for _ in range(2):
         driver.now += 250.0
         assert sampler.call_counter(driver.now, customer)
-        driver.feed(CounterReply(counter_key_of(customer), Outcome.REJECTED, 0.0, 2.0))
+        driver.deliver_event(CounterReply(get_counter_key(customer), Outcome.REJECTED, 0.0, 2.0))
     customer.usage.set_tokens(20.0)
     assert sampler.call_counter(driver.now + 250.0, customer)
     driver.now += 1250.0
     used_by_others = customer.report.last_total_units + 40.0  # the split would stand for 7
-    driver.feed(CounterReply(counter_key_of(customer), Outcome.OK, used_by_others, 2.0))
+    driver.deliver_event(CounterReply(get_counter_key(customer), Outcome.OK, used_by_others, 2.0))
     assert customer.usage.tokens == 0.0
 
 
@@ -39,16 +39,16 @@
     customer.report.record_total(driver.now, 500.0)
     customer.report.set_unreported(2.0)
     assert driver.engine.usage_sampler.call_counter(driver.now, customer)
-    driver.feed(CounterReply(counter_key_of(customer), Outcome.OK, 2.0, 2.0))
+    driver.deliver_event(CounterReply(get_counter_key(customer), Outcome.OK, 2.0, 2.0))
     assert customer.usage.tokens == pytest.approx(5.0)  # the expected remote usage stays used
 
 
 def test_the_first_sample_of_a_busy_customer_does_not_fill_the_bucket(driver: PolicyDriver) -> None:
     """What was used before the sample is taken out of the bucket."""
     driver.now = 5000.0
-    driver.request(1)
-    driver.answer_counter(Outcome.OK, 60.0)  # 60 units in 5 s of a quota of 10 a second and 20 at once
-    assert driver.customer_record().usage.tokens < 5.0
+    driver.send_request(1)
+    driver.reply_to_counter_call(Outcome.OK, 60.0)  # 60 units in 5 s of a quota of 10 a second and 20 at once
+    assert driver.get_customer().usage.tokens < 5.0
 
 
 @pytest.mark.parametrize(
@@ -66,9 +66,9 @@
 ) -> None:
     """The quota is 10 units a second and 20 at once; the limiter itself forwarded one unit."""
     driver.now = epoch_age_ms
-    driver.request(1)
-    driver.answer_counter(Outcome.OK, 1.0 + used_by_others)
-    assert driver.customer_record().usage.tokens == pytest.approx(tokens_left)
+    driver.send_request(1)
+    driver.reply_to_counter_call(Outcome.OK, 1.0 + used_by_others)
+    assert driver.get_customer().usage.tokens == pytest.approx(tokens_left)
 
 
 @pytest.mark.parametrize(
@@ -80,37 +80,37 @@
 ) -> None:
     """Units a millisecond, over 5 s, of a quota of 10 units a second."""
     driver.now = 5000.0
-    driver.request(1)
-    driver.answer_counter(Outcome.OK, 1.0 + used_by_others)
-    assert driver.customer_record().usage.remote_rate == pytest.approx(remote_rate)
+    driver.send_request(1)
+    driver.reply_to_counter_call(Outcome.OK, 1.0 + used_by_others)
+    assert driver.get_customer().usage.remote_rate == pytest.approx(remote_rate)
 
 
 def test_a_counter_call_stands_for_those_left_out_by_chance(wide_driver: PolicyDriver) -> None:
     """With half of the calls made, each reports twice the units."""
     wide_driver.engine.usage_sampler.call_probability = 0.5
     for request_id in range(20):
-        request_wide(wide_driver, request_id, customer=request_id)
-    assert wide_driver.counter_calls
-    assert {call.units_to_add for call in wide_driver.counter_calls} == {2.0}
+        send_widely_shared_request(wide_driver, request_id, customer=request_id)
+    assert wide_driver.pending_counter_calls
+    assert {call.units_to_add for call in wide_driver.pending_counter_calls} == {2.0}
 
 
 def test_a_reply_decides_all_requests_held_for_it(wide_driver: PolicyDriver) -> None:
     """One counter call serves all requests of the customer meanwhile."""
-    request_wide(wide_driver, 1)
-    request_wide(wide_driver, 2)
-    assert not wide_driver.answered
-    assert not wide_driver.sent
-    wide_driver.answer_counter(Outcome.OK, 1.0)
-    assert {1, 2} <= set(wide_driver.sent) | set(wide_driver.answered)
+    send_widely_shared_request(wide_driver, 1)
+    send_widely_shared_request(wide_driver, 2)
+    assert not wide_driver.final_answers
+    assert not wide_driver.sent_attempts
+    wide_driver.reply_to_counter_call(Outcome.OK, 1.0)
+    assert {1, 2} <= set(wide_driver.sent_attempts) | set(wide_driver.final_answers)
 
 
 def test_new_customers_of_a_plan_start_from_the_decisions_on_the_others(wide_driver: PolicyDriver) -> None:
     """They take over the plan's recent share of admitted requests and probability."""
     for request_id in range(40):
-        request_wide(wide_driver, request_id, customer=request_id)
-        wide_driver.answer_counter(Outcome.OK, 60.0)
-    assert wide_driver.customer_record(0).admitted_fraction <= 1.0 - DECISION_WEIGHT + 1e-9
-    request_wide(wide_driver, 100, customer=100)
-    new_customer = wide_driver.customer_record(100)
+        send_widely_shared_request(wide_driver, request_id, customer=request_id)
+        wide_driver.reply_to_counter_call(Outcome.OK, 60.0)
+    assert wide_driver.get_customer(0).admitted_fraction <= 1.0 - DECISION_WEIGHT + 1e-9
+    send_widely_shared_request(wide_driver, 100, customer=100)
+    new_customer = wide_driver.get_customer(100)
     assert new_customer.admitted_fraction < 0.7
     assert new_customer.usage.probability < 0.2
--- a/tests/scale/test_hollow_simulated_peers.py
+++ b/tests/scale/test_hollow_simulated_peers.py
@@ -16,7 +16,7 @@
 from scale.hollow.plan import CounterParameters, NetworkParameters, PlanParameters, ServerParameters
 from scale.hollow.quota import Quota
 from scale.hollow.server import Server, ServerJob, ServerModel
-from tests.support.hollow_experiment import hollow_experiment
+from tests.support.hollow_experiment import make_hollow_experiment
 
 COUNTER_KEY = 7
 WARM = -math.inf  # start of a server that is past its slow start
@@ -28,7 +28,7 @@
     def __init__(self, **parameters: Any) -> None:
         """Set keys of the experiment's table `counter`."""
         self.clock = VirtualClock()
-        self.network = Network(self.clock, hollow_experiment(zones=2, regions=2))
+        self.network = Network(self.clock, make_hollow_experiment(zones=2, regions=2))
         self.counter = SharedCounter(self.network, CounterParameters(**parameters), seed=1)
         self.replies: list[tuple[Outcome, float, float]] = []  # outcome, total, time
 
@@ -205,7 +205,7 @@
     def deliver(limiter: int, change: EndpointsChanged) -> None:
         pushed.append((limiter, change.endpoints[0].state))
 
-    discovery = Discovery(clock, hollow_experiment(limiters=3))
+    discovery = Discovery(clock, make_hollow_experiment(limiters=3))
     discovery.subscribe(deliver)
     gone = Endpoint(b"a", EndpointState.GONE)
     discovery.report_changes([gone], (500.0, 500.0))
--- a/tests/scale/test_hollow_simulation.py
+++ b/tests/scale/test_hollow_simulation.py
@@ -14,7 +14,7 @@
 from scale.hollow.run import check_all_requests_ended, run
 from scale.hollow.simulation import Simulation
 from scale.hollow.tally import RequestOutcome, Tally
-from tests.support.hollow_experiment import hollow_experiment
+from tests.support.hollow_experiment import make_hollow_experiment
 
 MAX_GOSSIP_DELAY_MS = 36
 # Seven other limiters, and a message may fill 0.8 of an intake of 40 a second; 200 ms is the least.
@@ -54,7 +54,7 @@
 
 
 def test_the_seed_determines_every_byte_and_each_request_has_one_outcome() -> None:
-    experiment = hollow_experiment(faults=FAULTS, regions=3)
+    experiment = make_hollow_experiment(faults=FAULTS, regions=3)
     lines = result_lines(experiment)
     assert lines == result_lines(experiment)
     assert lines != result_lines(msgspec.structs.replace(experiment, seed=2))
@@ -69,7 +69,7 @@
 
 
 def test_a_second_final_answer_or_none_fails_the_run() -> None:
-    simulation = Simulation(hollow_experiment())
+    simulation = Simulation(make_hollow_experiment())
     limiter = simulation.limiter_host.limiters[0]
     while not limiter.requests:
         simulation.run(simulation.clock.now + 10.0)
@@ -82,26 +82,26 @@
 
 
 def test_all_usage_is_learnt_within_the_gossip_interval_where_no_message_is_dropped() -> None:
-    ages = played_simulation(hollow_experiment(network={"peer_loss": 0.0})).gossip_ages
+    ages = played_simulation(make_hollow_experiment(network={"peer_loss": 0.0})).gossip_ages
     assert ages.expected_pair_count == ages.learnt_pair_count > 100
     # The interval is drawn up to a fifth longer.
     assert max(ages.counts_by_age) <= 1.2 * GOSSIP_INTERVAL_MS + MAX_GOSSIP_DELAY_MS
 
 
 def test_a_limiter_that_receives_no_gossip_shows_up_as_usage_never_learnt() -> None:
-    experiment = hollow_experiment(network={"peer_loss": 0.0})
+    experiment = make_hollow_experiment(network={"peer_loss": 0.0})
     assert any(0 in customer.used_limiters for customer in Simulation(experiment).customers)
     ages = played_simulation(experiment, unreachable_limiter=0).gossip_ages
     assert 0 < ages.learnt_pair_count < ages.expected_pair_count
 
 
 def test_nothing_is_learnt_where_all_messages_are_dropped() -> None:
-    ages = played_simulation(hollow_experiment(network={"peer_loss": 1.0})).gossip_ages
+    ages = played_simulation(make_hollow_experiment(network={"peer_loss": 1.0})).gossip_ages
     assert ages.learnt_pair_count == 0 < ages.expected_pair_count
 
 
 def test_partitioned_regions_receive_no_gossip_of_each_other_until_they_are_connected() -> None:
-    simulation = Simulation(hollow_experiment(zones=2, regions=2, network={"peer_loss": 0.0}))
+    simulation = Simulation(make_hollow_experiment(zones=2, regions=2, network={"peer_loss": 0.0}))
     receivers: list[int] = []
     message = GossipMessage(0, b"message", {})
     simulation.limiter_host.gossip_network.deliver = lambda receiver, _message: receivers.append(receiver)
@@ -118,7 +118,7 @@
 
 
 def test_recovery_is_when_the_windows_are_back_for_good() -> None:
-    tally = Tally(hollow_experiment(duration=30000.0, window=2000.0, warm_up=0.0))
+    tally = Tally(make_hollow_experiment(duration=30000.0, window=2000.0, warm_up=0.0))
     tally.units_beyond_quota_by_bin = [1.0] * 31
     assert tally.measure_recovery(10000.0) == {"before": 2.0, "worst": 2.0, "recovery_ms": 0.0}
     tally.units_beyond_quota_by_bin[11] = 5.0
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -12,14 +12,14 @@
 from limiter.model.events import LoadMetric
 from limiter.simulator.errors import WireError
 from tests.support.simulator_frames import (
-    SERVER,
+    SERVER_ID,
     SETTINGS_TEXT,
-    batch,
-    batch_header,
-    client_request,
-    endpoint_page,
-    open_instance,
-    registry,
+    encode_batch,
+    encode_batch_header,
+    encode_client_request,
+    encode_endpoint_page,
+    encode_open_instance,
+    encode_registry,
     run_adapter,
 )
 
@@ -34,27 +34,27 @@
 def test_a_request_is_sent_to_the_listed_server() -> None:
     """Instance 3 answers a request with a FORWARD of it to the server of its list."""
     _, reply = run_adapter(
-        batch(0.0, endpoint_page(), open_instance(), registry()),
-        batch(1000.0, client_request(request_id=9)),
+        encode_batch(0.0, encode_endpoint_page(), encode_open_instance(), encode_registry()),
+        encode_batch(1000.0, encode_client_request(request_id=9)),
     )
     forward_head = struct.pack(">BHI", 90, 3, 9)
-    assert re.search(re.escape(forward_head) + b".{8}" + re.escape(SERVER), reply, re.DOTALL)
+    assert re.search(re.escape(forward_head) + b".{8}" + re.escape(SERVER_ID), reply, re.DOTALL)
 
 
 @pytest.mark.parametrize(
     ("data", "message"),
     [
         (b"\x00\x00\x00", "ended inside a header"),
-        (batch_header(1, 30) + b"\x14", "ended inside a batch"),
-        (batch_header(0, 4), "no room for the clock"),
-        (batch(0.0, b"\xff"), "unknown event code 255"),
-        (batch(0.0, client_request(request_id=9)[:-1]), "cut short"),
-        (batch_header(0, 9) + b"\x00", "follow the last record"),
-        (batch(0.0, open_instance(), registry()), "page 0, which never came"),
-        (batch(0.0, open_instance(), registry(form=4)), "unknown registry form 4"),
-        (batch(0.0, open_instance()[:-1]), "record reaches to byte"),
-        (batch(0.0, endpoint_page(state=7)), "unknown server state 7"),
-        (batch(0.0, COUNTER_REPLY_WITH_UNKNOWN_OUTCOME), "unknown outcome code 999"),
+        (encode_batch_header(1, 30) + b"\x14", "ended inside a batch"),
+        (encode_batch_header(0, 4), "no room for the clock"),
+        (encode_batch(0.0, b"\xff"), "unknown event code 255"),
+        (encode_batch(0.0, encode_client_request(request_id=9)[:-1]), "cut short"),
+        (encode_batch_header(0, 9) + b"\x00", "follow the last record"),
+        (encode_batch(0.0, encode_open_instance(), encode_registry()), "page 0, which never came"),
+        (encode_batch(0.0, encode_open_instance(), encode_registry(form=4)), "unknown registry form 4"),
+        (encode_batch(0.0, encode_open_instance()[:-1]), "record reaches to byte"),
+        (encode_batch(0.0, encode_endpoint_page(state=7)), "unknown server state 7"),
+        (encode_batch(0.0, COUNTER_REPLY_WITH_UNKNOWN_OUTCOME), "unknown outcome code 999"),
     ],
 )
 def test_malformed_input_is_reported(data: bytes, message: str) -> None:
@@ -77,7 +77,7 @@
     """A missing or senseless setting of a new instance is named in the error."""
     settings_text = SETTINGS_TEXT.replace(text, replacement)
     with pytest.raises(ValueError, match=name):
-        run_adapter(batch(0.0, open_instance(settings_text=settings_text)))
+        run_adapter(encode_batch(0.0, encode_open_instance(settings_text=settings_text)))
 
 
 def test_unknown_keys_and_report_fields_are_skipped() -> None:
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -38,7 +38,7 @@
 from limiter.simulator.action_encoder import encode_action
 from limiter.simulator.event_decoder import EventDecoder
 from limiter.simulator.records import EventWithRawLoadReport, InstanceClosed, Record
-from tests.support.simulator_frames import SERVER, endpoint_page, registry
+from tests.support.simulator_frames import SERVER_ID, encode_endpoint_page, encode_registry
 
 CLIENT_REQUEST_FRAME = "1400035d3a91c4000140000000000091f03b7c55d20a6400404000003f80000040c0e62000000000"
 TIMER_FIRED_FRAME = "1500030000004d"
@@ -75,7 +75,7 @@
             AttemptEnded(
                 0x5D3A91C4,
                 0,
-                SERVER,
+                SERVER_ID,
                 Outcome.OK,
                 18.5,
                 request_finished=True,
@@ -83,7 +83,7 @@
                 billed_units=3.0,
             ),
         ),
-        (STREAM_STARTED_FRAME, StreamStarted(0x5D3A91C4, 0, SERVER, latency=9.25)),
+        (STREAM_STARTED_FRAME, StreamStarted(0x5D3A91C4, 0, SERVER_ID, latency=9.25)),
         (
             HEALTH_CHECK_ENDED_FRAME,
             EventWithRawLoadReport(
@@ -103,23 +103,26 @@
 @pytest.mark.parametrize(
     ("form", "event"),
     [
-        (0, EndpointsChanged((Endpoint(SERVER, EndpointState.READY),), is_full_list=False)),
-        (1, EndpointsChanged((Endpoint(SERVER, EndpointState.READY),), is_full_list=True)),
-        (2, EndpointsChanged((Endpoint(SERVER, EndpointState.READY),), is_full_list=True, from_cache=True)),
+        (0, EndpointsChanged((Endpoint(SERVER_ID, EndpointState.READY),), is_full_list=False)),
+        (1, EndpointsChanged((Endpoint(SERVER_ID, EndpointState.READY),), is_full_list=True)),
+        (
+            2,
+            EndpointsChanged((Endpoint(SERVER_ID, EndpointState.READY),), is_full_list=True, from_cache=True),
+        ),
         (3, DiscoveryPollFailed()),
     ],
     ids=["delta", "full", "cached", "failed"],
 )
 def test_each_form_of_the_registry_decodes(form: int, event: Event) -> None:
     """A registry record takes its entries from the page that came before, in the form that it names."""
-    assert EventDecoder().decode(endpoint_page() + registry(form=form), 2) == [(3, event)]
+    assert EventDecoder().decode(encode_endpoint_page() + encode_registry(form=form), 2) == [(3, event)]
 
 
 def test_a_page_serves_later_batches() -> None:
     """A page stays known after the batch in which it came."""
     decoder = EventDecoder()
-    assert decoder.decode(endpoint_page(), 1) == []
-    [(_, event)] = decoder.decode(registry(), 1)
+    assert decoder.decode(encode_endpoint_page(), 1) == []
+    [(_, event)] = decoder.decode(encode_registry(), 1)
     assert isinstance(event, EndpointsChanged)
 
 
@@ -132,7 +135,7 @@
 @pytest.mark.parametrize(
     ("instance", "action", "frame"),
     [
-        (3, SendAttempt(0x5D3A91C4, SERVER, timeout=80.0), "5a00035d3a91c440540000000000000a124a071f93"),
+        (3, SendAttempt(0x5D3A91C4, SERVER_ID, timeout=80.0), "5a00035d3a91c440540000000000000a124a071f93"),
         (3, SetTimer(delay=500.0, token=0x4D), "540003407f4000000000000000004d"),
         (5, LogMessage("two servers known"), "590005001174776f2073657276657273206b6e6f776e"),
         (
@@ -168,13 +171,13 @@
 def test_every_action_has_a_code_of_its_own() -> None:
     """No type of action is without an encoder."""
     examples: list[Action] = [
-        SendAttempt(1, SERVER, timeout=0.0),
+        SendAttempt(1, SERVER_ID, timeout=0.0),
         RejectRequest(1),
         FailRequest(1),
         CancelAttempt(1, attempt=0),
         IncrementCounter(1, units_to_add=0.0, time_to_live=0.0),
         SetTimer(delay=0.0, token=0),
-        SendHealthCheck(SERVER),
+        SendHealthCheck(SERVER_ID),
         PollDiscovery(),
         BroadcastGossip(b""),
         LogMessage(""),
--- a/tests/support/client.py
+++ b/tests/support/client.py
@@ -7,7 +7,7 @@
 from typing import TypedDict, Unpack
 
 from tests.support.http_message import parse_head
-from tests.support.waiting import PATIENCE_SECONDS
+from tests.support.waiting import WAIT_TIMEOUT_SECONDS
 
 CUSTOMER = "00000000b4d65521"
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\n\r\n"
@@ -46,20 +46,20 @@
         """Send these bytes to the limiter."""
         self.writer.write(data)
 
-    async def response(self) -> Response:
+    async def read_response(self) -> Response:
         """Return the next response.
 
         Raises:
             asyncio.IncompleteReadError: the limiter closed the connection before the response's end.
         """
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
             status_line, headers = parse_head(await self.reader.readuntil(b"\r\n\r\n"))
             body = await self.reader.readexactly(int(headers["content-length"]))
         return Response(int(status_line.split()[1]), headers, body)
 
     async def read_until_closed(self) -> bytes:
         """Return all further bytes until the limiter closes the connection."""
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
             return await self.reader.read()
 
     def close(self) -> None:
@@ -89,7 +89,7 @@
     without_header: str
 
 
-def http_request(request_class: str = "read", **options: Unpack[RequestOptions]) -> bytes:
+def build_request(request_class: str = "read", **options: Unpack[RequestOptions]) -> bytes:
     """Return a request in the protocol's form; `read` is a GET, the other classes are POSTs."""
     method = "GET" if request_class == "read" else "POST"
     body = options.get("body", b"")
--- a/tests/support/fake_peer.py
+++ b/tests/support/fake_peer.py
@@ -14,7 +14,7 @@
         accepted_connections: number of connections that were accepted so far.
         closed_connections: number of those that have ended.
         writers: the streams to the limiter, one for each connection that was accepted since `listen`.
-        server: the listening server, from `listen` on.
+        listening_server: the listening server, from `listen` on.
     """
 
     def __init__(self) -> None:
@@ -23,13 +23,13 @@
         self.accepted_connections = 0
         self.closed_connections = 0
         self.writers: list[asyncio.StreamWriter] = []
-        self.server: asyncio.Server
+        self.listening_server: asyncio.Server
 
     async def listen(self) -> None:
         """Start to accept connections, on the port that was set before or on a free one."""
         self.writers = []
-        self.server = await asyncio.start_server(self._connected, "127.0.0.1", self.port)
-        self.port = self.server.sockets[0].getsockname()[1]
+        self.listening_server = await asyncio.start_server(self._connected, "127.0.0.1", self.port)
+        self.port = self.listening_server.sockets[0].getsockname()[1]
 
     @property
     def address(self) -> str:
--- a/tests/support/fake_server.py
+++ b/tests/support/fake_server.py
@@ -12,7 +12,7 @@
 
 from tests.support.fake_peer import FakePeer
 from tests.support.http_message import parse_head
-from tests.support.waiting import PATIENCE_SECONDS, wait_until
+from tests.support.waiting import WAIT_TIMEOUT_SECONDS, wait_until
 
 _TCP_SYN_SENT = "02"  # The state of an unestablished connection in /proc/net/tcp.
 
@@ -22,13 +22,13 @@
     """A request as a server received it.
 
     Attributes:
-        line: the request line.
+        request_line: the request line.
         headers: header values under their names in lower case.
         body: the body without its framing.
         connection_number: number of the server's connection that it came on, the first one's is 1.
     """
 
-    line: str
+    request_line: str
     headers: dict[str, str]
     body: bytes
     connection_number: int
@@ -69,7 +69,7 @@
 
 async def never_respond(_request: ReceivedRequest, _writer: asyncio.StreamWriter) -> None:
     """Send no response while the test runs."""
-    await asyncio.sleep(PATIENCE_SECONDS)
+    await asyncio.sleep(WAIT_TIMEOUT_SECONDS)
 
 
 async def reset_connection(_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
@@ -99,7 +99,7 @@
         self.writers.clear()
 
 
-def request_ids(received: Iterable[ReceivedRequest]) -> list[str]:
+def list_request_ids(received: Iterable[ReceivedRequest]) -> list[str]:
     """Return the clients' ids of requests as servers received them."""
     return [request.headers["x-request-id"] for request in received]
 
@@ -110,7 +110,7 @@
     Attributes:
         key: its name in endpoint lists.
         zone: the zone that it is listed in.
-        received: the requests that it received so far.
+        received_requests: the requests that it received so far.
         responder: writes its responses; by default status 200 with the server's name.
     """
 
@@ -124,7 +124,7 @@
         super().__init__()
         self.key = key
         self.zone = zone
-        self.received: list[ReceivedRequest] = []
+        self.received_requests: list[ReceivedRequest] = []
         self.responder: Responder = respond_with(200, f"from {key}".encode())
 
     async def serve(
@@ -136,10 +136,10 @@
             length = re.search(rb"(?i)content-length: (\d+)", head)
             body = await reader.readexactly(int(length[1])) if length else b""
             request = ReceivedRequest(*parse_head(head), body, connection_number)
-            self.received.append(request)
+            self.received_requests.append(request)
             await self.responder(request, writer)
 
-    def list_entry(self, state: str = "active", **changes: Any) -> dict[str, Any]:
+    def make_list_entry(self, state: str = "active", **changes: Any) -> dict[str, Any]:
         """Return this server's entry of an endpoint list.
 
         Args:
@@ -172,16 +172,16 @@
         self.filler = socket.socket()
         self.filler.connect(("127.0.0.1", self.port))
 
-    def pending_connections(self) -> int:
+    def count_pending_connections(self) -> int:
         """Return how many connections to here are not established yet, by the kernel's table."""
         address = f"0100007F:{self.port:04X}"
         rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
         return sum(row[2] == address and row[3] == _TCP_SYN_SENT for row in rows)
 
-    async def open(self) -> None:
+    async def accept_connections(self) -> None:
         """Accept connections from now on; return once none is pending any more."""
         self.listening.setblocking(False)
         self.listening.listen(16)
-        self.server = await asyncio.start_server(self._connected, sock=self.listening)
+        self.listening_server = await asyncio.start_server(self._connected, sock=self.listening)
         self.filler.close()
-        await wait_until(lambda: not self.pending_connections(), "every dial has succeeded or ended")
+        await wait_until(lambda: not self.count_pending_connections(), "every dial has succeeded or ended")
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -18,15 +18,15 @@
 
 import pytest
 
-from tests.support.client import HEALTH_CHECK, Connection, Response, http_request
+from tests.support.client import HEALTH_CHECK, Connection, Response, build_request
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer, ReceivedRequest, SlowAcceptServer
-from tests.support.limiter_settings import known_list, settings
-from tests.support.waiting import PATIENCE_SECONDS, wait_until
+from tests.support.limiter_settings import make_configured_endpoint_list, make_raw_settings
+from tests.support.waiting import WAIT_TIMEOUT_SECONDS, wait_until
 
-ROOT = Path(__file__).parents[2]
-DEFAULT_SOCKETS = 1024
+REPOSITORY_ROOT = Path(__file__).parents[2]
+DEFAULT_DESCRIPTOR_LIMIT = 1024
 
 
 class HarnessOptions(TypedDict, total=False):
@@ -57,7 +57,7 @@
     """A limiter process, its configuration and log, and the fakes that it connects to.
 
     Attributes:
-        folder: where the configuration file is.
+        config_folder: where the configuration file is.
         slow_servers: servers that complete no connection until they are opened.
         servers: all servers, the slow ones first.
         discovery: the discovery agent.
@@ -77,7 +77,7 @@
             servers: number of servers that accept connections.
             slow_servers: number of servers that complete no connection until they are opened.
         """
-        self.folder = folder
+        self.config_folder = folder
         self.slow_servers = [SlowAcceptServer(f"late-{index}") for index in range(slow_servers)]
         normal_servers = [FakeServer(f"s-{index}") for index in range(servers)]
         self.servers: list[FakeServer] = [*self.slow_servers, *normal_servers]
@@ -90,9 +90,9 @@
         self.port = 0
 
     @property
-    def received(self) -> list[ReceivedRequest]:
+    def received_requests(self) -> list[ReceivedRequest]:
         """All requests that the servers received so far, server by server."""
-        return [request for server in self.servers for request in server.received]
+        return [request for server in self.servers for request in server.received_requests]
 
     async def start(
         self, limiter_settings: dict[str, Any], sockets: int, config_changes: dict[str, Any] | None = None
@@ -107,7 +107,7 @@
         for peer in (*self.servers, self.discovery, self.counter):
             await peer.listen()
         if not self.discovery.entries:
-            self.discovery.entries = [server.list_entry() for server in self.servers]
+            self.discovery.entries = [server.make_list_entry() for server in self.servers]
         self.config = {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -115,7 +115,7 @@
             "counter": self.counter.address,
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
-            "known": known_list(*self.discovery.entries),
+            "known": make_configured_endpoint_list(*self.discovery.entries),
             "settings": limiter_settings,
             **(config_changes or {}),
         }
@@ -125,22 +125,22 @@
         """Launch the limiter again, with changes to its configuration, and wait until it is healthy."""
         self.config |= changes
         self.log_reader.cancel()
-        await self.launch(DEFAULT_SOCKETS)
-        await self.wait_ready()
+        await self.launch(DEFAULT_DESCRIPTOR_LIMIT)
+        await self.wait_until_healthy()
 
     async def launch(self, sockets: int) -> None:
         """Launch the limiter with the present configuration; return once it listens or has exited."""
         self.port = 0
         # As in production, the environment names the first discovery agent too.
         self.process = await launch_limiter(
-            self.folder, self.config, sockets, RELAY_DISCOVERY=self.discovery.address
+            self.config_folder, self.config, sockets, RELAY_DISCOVERY=self.discovery.address
         )
         self.log_reader = asyncio.create_task(self._read_log())
         await wait_until(lambda: self.port or self.process.returncode is not None, "listening")
 
-    async def wait_ready(self) -> None:
+    async def wait_until_healthy(self) -> None:
         """Wait until the limiter's health check succeeds."""
-        deadline = time.monotonic() + PATIENCE_SECONDS
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
         while (await self.send_request(HEALTH_CHECK)).status != 200:
             assert time.monotonic() < deadline, "never ready"
             await asyncio.sleep(0.01)
@@ -161,18 +161,18 @@
         connection = await self.connect()
         connection.send(data)
         try:
-            return await connection.response()
+            return await connection.read_response()
         finally:
             connection.close()
 
-    def reload(self, text: str | None = None, **changes: Any) -> None:
+    def reload_configuration(self, text: str | None = None, **changes: Any) -> None:
         """Replace the configuration's file, by this text or with these changes, and send SIGHUP."""
-        path = self.folder / "next.json"
+        path = self.config_folder / "next.json"
         path.write_text(json.dumps({**self.config, **changes}) if text is None else text)
-        path.replace(self.folder / "config.json")
+        path.replace(self.config_folder / "config.json")
         self.process.send_signal(signal.SIGHUP)
 
-    def descriptors(self) -> int:
+    def count_open_descriptors(self) -> int:
         """Return how many descriptors the process has open."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
@@ -180,7 +180,7 @@
         """Send SIGTERM if the process still runs, and return its exit code."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
             return await self.process.wait()
 
     async def kill(self) -> None:
@@ -192,7 +192,7 @@
 
 
 async def launch_limiter(
-    folder: Path, config: Any, sockets: int = DEFAULT_SOCKETS, **environment: str
+    folder: Path, config: Any, sockets: int = DEFAULT_DESCRIPTOR_LIMIT, **environment: str
 ) -> asyncio.subprocess.Process:
     """Start a limiter process; its log is on the process's `stderr`.
 
@@ -208,7 +208,7 @@
         sys.executable,
         "-m",
         "limiter",
-        cwd=ROOT,
+        cwd=REPOSITORY_ROOT,
         env={**os.environ, "RELAY_CONFIG": str(path), **environment},
         stderr=asyncio.subprocess.PIPE,
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets)),
@@ -225,11 +225,13 @@
         harness = LimiterHarness(Path(folder), options.get("servers", 1), options.get("slow_servers", 0))
         harness.discovery.entries = options.get("entries") or []
         harness.discovery.is_responding = options.get("discovery_responds", True)
-        sockets = options.get("sockets", DEFAULT_SOCKETS)
-        await harness.start(options.get("settings") or settings(), sockets, options.get("config_changes"))
+        sockets = options.get("sockets", DEFAULT_DESCRIPTOR_LIMIT)
+        await harness.start(
+            options.get("settings") or make_raw_settings(), sockets, options.get("config_changes")
+        )
         try:
             if options.get("wait_ready", True):
-                await harness.wait_ready()
+                await harness.wait_until_healthy()
             yield harness
             log = "".join(harness.log_lines)
             assert harness.process.returncode is None or "stop" in log, log
@@ -243,13 +245,13 @@
     return pytest.mark.limiter_with(**options)
 
 
-def marked_options(test: pytest.Item) -> HarnessOptions:
+def get_marked_options(test: pytest.Item) -> HarnessOptions:
     """Return the options of the test's `limiter_with` mark, none without the mark."""
     mark = test.get_closest_marker("limiter_with")
     return cast("HarnessOptions", mark.kwargs if mark else {})
 
 
-async def wait_for_version(harness: LimiterHarness, version: int) -> None:
+async def wait_until_list_version_applied(harness: LimiterHarness, version: int) -> None:
     """Wait until the limiter asks for changes since that version, and so has applied it."""
     await wait_until(
         lambda: harness.discovery.calls and f"since={version}&" in harness.discovery.calls[-1].target,
@@ -257,15 +259,15 @@
     )
 
 
-async def wait_for_list_read(harness: LimiterHarness) -> None:
+async def wait_until_latest_list_applied(harness: LimiterHarness) -> None:
     """Wait until the limiter asks for what follows discovery's present version."""
-    await wait_for_version(harness, harness.discovery.version)
+    await wait_until_list_version_applied(harness, harness.discovery.version)
 
 
-async def response_bodies(harness: LimiterHarness, request_class: str, count: int = 6) -> set[bytes]:
+async def collect_response_bodies(harness: LimiterHarness, request_class: str, count: int = 6) -> set[bytes]:
     """Send requests on connections of their own, and return the distinct bodies of their responses."""
     bodies = set()
     for number in range(count):
-        response = await harness.send_request(http_request(request_class, request_id=str(number)))
+        response = await harness.send_request(build_request(request_class, request_id=str(number)))
         bodies.add(response.body)
     return bodies
--- a/tests/support/hollow_experiment.py
+++ b/tests/support/hollow_experiment.py
@@ -7,7 +7,7 @@
 from scale.hollow.plan import HollowExperiment
 
 
-def hollow_experiment(**changes: object) -> HollowExperiment:
+def make_hollow_experiment(**changes: object) -> HollowExperiment:
     """Make an experiment of eight limiters and eight seconds.
 
     Args:
--- a/tests/support/in_process_limiter.py
+++ b/tests/support/in_process_limiter.py
@@ -15,7 +15,7 @@
 from limiter.transport.driver.proxy import Proxy
 from tests.support.client import Connection, Response
 from tests.support.fake_server import FakeServer
-from tests.support.limiter_settings import configuration
+from tests.support.limiter_settings import make_raw_config
 
 
 @asynccontextmanager
@@ -31,7 +31,7 @@
         endpoint = Endpoint(server.key.encode(), EndpointState.READY)
         endpoints.append(ListedEndpoint(endpoint, ("127.0.0.1", server.port)))
     clock = Clock()
-    config = parse_config(configuration(seed="1"))
+    config = parse_config(make_raw_config(seed="1"))
     proxy = Proxy(config, clock)
     proxy.apply_endpoint_list(endpoints, True)
     listener = Listener(config, proxy, clock)
@@ -58,7 +58,7 @@
         """Send these bytes, which must fit into the buffers of both sockets."""
         self.socket.sendall(data)
 
-    async def response(self) -> Response:
+    async def read_response(self) -> Response:
         """Return the next response.
 
         Raises:
@@ -66,7 +66,7 @@
             ConnectionResetError: the limiter reset the connection.
         """
         reader = asyncio.StreamReader()
-        reading = asyncio.create_task(Connection(reader, None).response())  # type: ignore[arg-type]
+        reading = asyncio.create_task(Connection(reader, None).read_response())  # type: ignore[arg-type]
         loop = asyncio.get_running_loop()
         while not reading.done():
             if data := await loop.sock_recv(self.socket, 65536):
--- a/tests/support/limiter_settings.py
+++ b/tests/support/limiter_settings.py
@@ -33,7 +33,7 @@
 }
 
 
-def settings(**changes: Any) -> dict[str, Any]:
+def make_raw_settings(**changes: Any) -> dict[str, Any]:
     """Return settings of a lone limiter without quota.
 
     There is one class of each idempotency: `read` is idempotent, `submit` has an idempotency key and `order`
@@ -45,7 +45,7 @@
     return {**copy.deepcopy(_LONE_LIMITER_WITHOUT_QUOTA), **changes}
 
 
-def settings_with_quota(rate: float, burst: float) -> dict[str, Any]:
+def make_raw_settings_with_quota(rate: float, burst: float) -> dict[str, Any]:
     """Return settings of one of two limiters whose plan has a quota, and which use the counter.
 
     Args:
@@ -54,10 +54,10 @@
     """
     plan = {"name": "free", "quotaRate": rate, "peakUnits": burst, "valueFactor": 1.0}
     extra = {"mayCount": True, "countLimit": 50.0, "maxUnits": 1}
-    return settings(contracts=[plan], extra=extra, peersTotal=2)
+    return make_raw_settings(contracts=[plan], extra=extra, peersTotal=2)
 
 
-def configuration(**changes: Any) -> dict[str, Any]:
+def make_raw_config(**changes: Any) -> dict[str, Any]:
     """Return a configuration whose discovery and counter refuse connections.
 
     Args:
@@ -70,11 +70,11 @@
         "counter": "127.0.0.1:2",
         "seed": "8c1f",
         "limits": {"sockets": 256},
-        "settings": settings(),
+        "settings": make_raw_settings(),
     }
     return {**document, **changes}
 
 
-def known_list(*entries: dict[str, Any]) -> dict[str, Any]:
+def make_configured_endpoint_list(*entries: dict[str, Any]) -> dict[str, Any]:
     """Return a configuration's known endpoint list, version 1, with these entries."""
     return {"generation": 1, "reset": True, "instances": list(entries)}
--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -42,17 +42,19 @@
 TIME_TOLERANCE_MS = 1e-6
 
 
-def endpoint_id(index: int) -> bytes:
+def make_endpoint_id(index: int) -> bytes:
     """The id of server `index`: its address and port."""
     return bytes([10, 0, 0, index, 31, 147])
 
 
-def endpoint(index: int, state: EndpointState = EndpointState.READY, started: float = 0.0) -> Endpoint:
+def make_endpoint(
+    index: int, state: EndpointState = EndpointState.READY, start_time: float = 0.0
+) -> Endpoint:
     """Server `index`; its zone is the index modulo 2, its cell the index modulo 3."""
-    return Endpoint(endpoint_id(index), state, zone=index % 2, cell=index % 3, started_at=started)
+    return Endpoint(make_endpoint_id(index), state, zone=index % 2, cell=index % 3, started_at=start_time)
 
 
-def settings(**changes: object) -> Settings:
+def make_settings(**changes: object) -> Settings:
     """Settings of limiter 0 of 3, with a class for each idempotency and scope, but for `changes`."""
     values: dict[str, object] = {
         "limiter_index": 0,
@@ -103,9 +105,9 @@
     """What a test may say of a request beyond its class, plan and customer."""
 
     units: float
-    size: float  # limiters that may get the customer's requests
-    first: float  # number of the first of these
-    patience: float  # ms until the client gives up
+    limiters_in_set: float  # limiters that may get the customer's requests
+    first_limiter: float  # number of the first of these
+    client_timeout: float  # ms until the client gives up
 
 
 class EndReport(TypedDict, total=False):
@@ -125,16 +127,16 @@
     now: float = 0.0
     endpoints: dict[bytes, Endpoint] = field(default_factory=dict)
     requests: dict[int, ClientRequest] = field(default_factory=dict)
-    answered: dict[int, str] = field(
+    final_answers: dict[int, str] = field(
         default_factory=dict
     )  # by request: the action's name, "served" or "gone"
-    sent: dict[int, list[SentAttempt]] = field(default_factory=dict)  # by request
-    counter_calls: list[IncrementCounter] = field(default_factory=list)  # not yet answered
-    timers: list[tuple[float, int]] = field(default_factory=list)  # time and token
+    sent_attempts: dict[int, list[SentAttempt]] = field(default_factory=dict)  # by request
+    pending_counter_calls: list[IncrementCounter] = field(default_factory=list)  # not yet answered
+    pending_timers: list[tuple[float, int]] = field(default_factory=list)  # time and token
     actions: list[Action] = field(default_factory=list)
-    admitted: list[tuple[float, int, float]] = field(default_factory=list)  # time, customer, units
+    admissions: list[tuple[float, int, float]] = field(default_factory=list)  # time, customer, units
 
-    def feed(self, event: Event) -> list[Action]:
+    def deliver_event(self, event: Event) -> list[Action]:
         """Hand an event to the engine now; check, keep and return its actions."""
         match event:
             case EndpointsChanged():
@@ -142,7 +144,7 @@
             case ClientRequest():
                 self.requests[event.id] = event
             case ClientDisconnected():
-                self.answered.setdefault(event.request_id, "gone")
+                self.final_answers.setdefault(event.request_id, "gone")
             case _:
                 pass
         actions = self.engine.handle(self.now, event)
@@ -164,16 +166,16 @@
                 self._check_attempt(action)
             case RejectRequest(request_id) | FailRequest(request_id):
                 assert request_id in self.requests, "answered a request that there is not"
-                assert request_id not in self.answered, "answered twice"
+                assert request_id not in self.final_answers, "answered twice"
                 if isinstance(action, RejectRequest):
                     self._check_rejection(request_id)
-                self.answered[request_id] = type(action).__name__
+                self.final_answers[request_id] = type(action).__name__
             case CancelAttempt(request_id, attempt):
-                assert attempt < len(self.sent[request_id]), "cancelled an attempt never made"
+                assert attempt < len(self.sent_attempts[request_id]), "cancelled an attempt never made"
             case IncrementCounter():
-                self.counter_calls.append(action)
+                self.pending_counter_calls.append(action)
             case SetTimer(delay, token):
-                self.timers.append((self.now + delay, token))
+                self.pending_timers.append((self.now + delay, token))
             case _:
                 pass
 
@@ -181,8 +183,8 @@
         """Check that the attempt is allowed, and record it."""
         request_id, timeout = action.request_id, action.timeout
         request = self.requests[request_id]
-        before = self.sent.setdefault(request_id, [])
-        assert request_id not in self.answered, "sent after the final answer"
+        before = self.sent_attempts.setdefault(request_id, [])
+        assert request_id not in self.final_answers, "sent after the final answer"
         assert len(before) < self.settings.max_attempts
         is_ready = self.endpoints[action.endpoint_id].state is EndpointState.READY
         assert is_ready, "sent to a draining or gone server"
@@ -193,7 +195,7 @@
         if may_have_run:
             self._check_resend(request, first=may_have_run[0], to=self.endpoints[action.endpoint_id])
         if not before:
-            self.admitted.append((self.now, request.customer, request.units))
+            self.admissions.append((self.now, request.customer, request.units))
         before.append(SentAttempt(request_id, len(before), action.endpoint_id, self.now, timeout))
 
     def _check_resend(self, request: ClientRequest, first: SentAttempt, to: Endpoint) -> None:
@@ -209,7 +211,7 @@
 
     def _check_rejection(self, request_id: int) -> None:
         """Check that the client may be told to try again, which could run the request a second time."""
-        if not any(sent.may_have_run for sent in self.sent.get(request_id, [])):
+        if not any(sent.may_have_run for sent in self.sent_attempts.get(request_id, [])):
             return
         request_class = self.settings.request_classes[self.requests[request_id].request_class]
         idempotency = request_class.idempotency
@@ -220,20 +222,20 @@
     def advance_to(self, now: float) -> None:
         """Move on to a time, firing the timers due and ending the attempts whose time-out is over."""
         while True:
-            timer_at, token = min(self.timers, default=(math.inf, 0))
-            attempt = min(self.in_flight(), key=_time_out_order, default=None)
+            timer_at, token = min(self.pending_timers, default=(math.inf, 0))
+            attempt = min(self.list_attempts_in_flight(), key=_time_out_order, default=None)
             attempt_at = math.inf if attempt is None else attempt.times_out_at
             if min(timer_at, attempt_at) > now:
                 break
             self.now = max(self.now, min(timer_at, attempt_at))
             if attempt is None or timer_at <= attempt_at:
-                self.timers.remove((timer_at, token))
-                self.feed(TimerFired(token))
+                self.pending_timers.remove((timer_at, token))
+                self.deliver_event(TimerFired(token))
             else:
                 self.end_attempt(attempt, Outcome.TIMEOUT)
         self.now = now
 
-    def request(
+    def send_request(
         self,
         request_id: int,
         request_class: int = 0,
@@ -242,16 +244,16 @@
         **options: Unpack[RequestOptions],
     ) -> list[Action]:
         """Feed a request of the class with this index."""
-        return self.feed(
+        return self.deliver_event(
             ClientRequest(
                 id=request_id,
                 customer=customer,
                 plan=plan,
                 request_class=request_class,
                 units=options.get("units", 1.0),
-                limiter_set_size=options.get("size", 3.0),
-                limiter_set_start=options.get("first", 0.0),
-                expires_at=self.now + options.get("patience", 3000.0),
+                limiter_set_size=options.get("limiters_in_set", 3.0),
+                limiter_set_start=options.get("first_limiter", 0.0),
+                expires_at=self.now + options.get("client_timeout", 3000.0),
             )
         )
 
@@ -265,51 +267,51 @@
         """Feed the end of an attempt, after `latency` ms or the time since it was sent."""
         sent.in_flight = False
         sent.may_have_run = outcome not in NEVER_RAN
-        is_finished = outcome is Outcome.OK or sent.request_id in self.answered
+        is_finished = outcome is Outcome.OK or sent.request_id in self.final_answers
         if outcome is Outcome.OK:
-            self.answered.setdefault(sent.request_id, "served")
+            self.final_answers.setdefault(sent.request_id, "served")
         took = self.now - sent.sent_at if latency is None else latency
-        return self.feed(
+        return self.deliver_event(
             AttemptEnded(
                 sent.request_id, sent.attempt, sent.endpoint_id, outcome, took, is_finished, **report
             )
         )
 
-    def complete_in_flight(self) -> None:
+    def complete_attempts_in_flight(self) -> None:
         """End all attempts in flight well, after 50 ms each."""
-        for sent in self.in_flight():
+        for sent in self.list_attempts_in_flight():
             self.end_attempt(sent, Outcome.OK, 50.0)
 
-    def answer_counter(self, outcome: Outcome, total: float = 0.0) -> None:
+    def reply_to_counter_call(self, outcome: Outcome, total: float = 0.0) -> None:
         """Feed the reply to the oldest call of the counter, after 2 ms."""
-        call = self.counter_calls.pop(0)
-        self.feed(CounterReply(call.key, outcome, total, latency=2.0))
+        call = self.pending_counter_calls.pop(0)
+        self.deliver_event(CounterReply(call.key, outcome, total, latency=2.0))
 
-    def answer_all_calls(self, outcome: Outcome, total: float = 0.0) -> None:
+    def reply_to_all_counter_calls(self, outcome: Outcome, total: float = 0.0) -> None:
         """Feed the same reply to each call of the counter, also to those made meanwhile."""
-        while self.counter_calls:
-            self.answer_counter(outcome, total)
+        while self.pending_counter_calls:
+            self.reply_to_counter_call(outcome, total)
 
-    def customer_record(self, key: int = 1) -> Customer:
+    def get_customer(self, key: int = 1) -> Customer:
         """What the engine holds of a customer."""
         return self.engine.customers.table.records[key]
 
     @property
-    def servers(self) -> dict[bytes, Server]:
+    def servers_by_id(self) -> dict[bytes, Server]:
         """What the engine holds of each server, by its id."""
         return self.engine.server_selector.table.by_id
 
-    def server(self, index: int) -> Server:
+    def get_server(self, index: int) -> Server:
         """What the engine holds of server `index`."""
-        return self.servers[endpoint_id(index)]
+        return self.servers_by_id[make_endpoint_id(index)]
 
     def record_remote_usage(self, customer: Customer, units: float) -> None:
         """Record now that the other limiters used `units` since the last sample."""
         customer.usage.record_sample(self.now, customer.plan, remote_units=units)
 
-    def in_flight(self) -> list[SentAttempt]:
+    def list_attempts_in_flight(self) -> list[SentAttempt]:
         """The attempts in flight, those of a request in the order sent."""
-        return [sent for attempts in self.sent.values() for sent in attempts if sent.in_flight]
+        return [sent for attempts in self.sent_attempts.values() for sent in attempts if sent.in_flight]
 
 
 def _time_out_order(sent: SentAttempt) -> tuple[float, int, int]:
@@ -318,13 +320,13 @@
 
 def make_driver(server_count: int = 4, seed: int = 1, now: float = 0.0, **changes: object) -> PolicyDriver:
     """A driver of a limiter started at `now`, with servers 0 to server_count - 1 ready."""
-    limiter_settings = settings(**changes)
+    limiter_settings = make_settings(**changes)
     driver = PolicyDriver(PolicyEngine(limiter_settings, seed), limiter_settings, now)
-    ready = tuple(endpoint(index) for index in range(server_count))
-    driver.feed(EndpointsChanged(ready, is_full_list=True))
+    ready = tuple(make_endpoint(index) for index in range(server_count))
+    driver.deliver_event(EndpointsChanged(ready, is_full_list=True))
     return driver
 
 
-def ready_endpoints(engine: PolicyEngine) -> set[bytes]:
+def list_ready_endpoint_ids(engine: PolicyEngine) -> set[bytes]:
     """Ids of the servers that the engine may send to."""
     return {server.endpoint.id for server in engine.server_selector.table.ready}
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -21,7 +21,12 @@
 )
 from limiter.policy.engine import PolicyEngine
 from scale.hollow.clock import VirtualClock
-from tests.support.policy_driver import endpoint, endpoint_id, ready_endpoints, settings
+from tests.support.policy_driver import (
+    list_ready_endpoint_ids,
+    make_endpoint,
+    make_endpoint_id,
+    make_settings,
+)
 
 # Length of the time, from the start, in which discovery rejects every poll.
 OUTAGE_MS = 3000.0
@@ -39,7 +44,7 @@
 KEPT = 2
 
 
-class DiscoveryFleet:
+class PollingFleet:
     """Limiters whose polls discovery rejects in an outage; afterwards it responds to a number a second."""
 
     def __init__(
@@ -54,16 +59,16 @@
             outage: time from the start in which discovery rejects every poll, in ms.
         """
         self.poll_times: list[float] = []
-        self.broadcasts = 0
-        self.outdated = set(range(running))  # limiters that still send to the removed server
-        self.responded_to: set[int] = set()  # limiters that discovery has responded to
+        self.broadcast_count = 0
+        self.outdated_limiters = set(range(running))  # limiters that still send to the removed server
+        self.limiters_responded_to: set[int] = set()  # limiters that discovery has responded to
         self._rng = Random(limiters)
         self._loss = loss
         self._outage = outage
         self._last_response_at = -math.inf
         self._clock = VirtualClock()
         self._engines: list[PolicyEngine] = []
-        cached_list = EndpointsChanged((endpoint(REMOVED), endpoint(KEPT)), True, from_cache=True)
+        cached_list = EndpointsChanged((make_endpoint(REMOVED), make_endpoint(KEPT)), True, from_cache=True)
         for limiter in range(running):
             self._engines.append(_make_engine(limiter, limiters))
             self.feed(limiter, cached_list)
@@ -84,15 +89,17 @@
                     self.poll_times.append(self.now)
                     self._clock.call_at(self.now + POLL_DELAY_MS, self._reply_to_poll, limiter)
                 case BroadcastGossip(body):
-                    self.broadcasts += 1
+                    self.broadcast_count += 1
                     message = GossipReceived(limiter, body)
                     self._clock.call_at(self.now + GOSSIP_DELAY_MS, self._deliver_broadcast, message)
                 case _:
                     pass
-        if limiter in self.outdated and endpoint_id(REMOVED) not in ready_endpoints(engine):
-            self.outdated.discard(limiter)
+        if limiter in self.outdated_limiters and make_endpoint_id(REMOVED) not in list_ready_endpoint_ids(
+            engine
+        ):
+            self.outdated_limiters.discard(limiter)
 
-    def feed_all(self, event: Event) -> None:
+    def deliver_event_to_all(self, event: Event) -> None:
         """Hand an event to all limiters now."""
         for limiter in range(len(self._engines)):
             self.feed(limiter, event)
@@ -107,8 +114,8 @@
             self.feed(limiter, DiscoveryPollFailed())
             return
         self._last_response_at = self.now
-        self.responded_to.add(limiter)
-        removal = endpoint(REMOVED, EndpointState.DRAINING)
+        self.limiters_responded_to.add(limiter)
+        removal = make_endpoint(REMOVED, EndpointState.DRAINING)
         self.feed(limiter, EndpointsChanged((removal,), is_full_list=False))
 
     def _deliver_broadcast(self, message: GossipReceived) -> None:
@@ -119,7 +126,7 @@
 
 
 def _make_engine(limiter: int, limiters: int) -> PolicyEngine:
-    made = settings(
+    made = make_settings(
         limiter_index=limiter,
         limiter_count=limiters,
         may_gossip=True,
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -63,7 +63,7 @@
 
     start: float
     end: float
-    factor: float
+    load_factor: float
 
 
 class SimulatedFleet:
@@ -76,7 +76,7 @@
         """
         self.servers: dict[bytes, SimulatedServer] = {}
         # Delay, in ms, until a limiter learns of a changed list of servers; 0 if it is not in here.
-        self.announcement_delays: dict[int, float] = {}
+        self.announcement_delays_ms: dict[int, float] = {}
         self.served = 0
         self.rejected = 0
         self.failed = 0
@@ -123,7 +123,7 @@
         ready = tuple(server.info for server in self.servers.values() if not server.is_down)
         change = EndpointsChanged(ready, is_full_list=True)
         for limiter in range(len(self._engines)):
-            delay = self.announcement_delays.get(limiter, 0.0)
+            delay = self.announcement_delays_ms.get(limiter, 0.0)
             self._clock.call_at(self.now + delay, self._feed, limiter, change)
 
     def run_until(self, end: float) -> None:
@@ -148,7 +148,7 @@
 
     def _requests_per_ms(self) -> float:
         in_burst = self._burst.start <= self.now < self._burst.end
-        return self._capacity_per_ms * self._load * (self._burst.factor if in_burst else 1.0)
+        return self._capacity_per_ms * self._load * (self._burst.load_factor if in_burst else 1.0)
 
     def _send_request(self, is_retry: bool) -> None:
         limiters = len(self._engines)
--- a/tests/support/simulated_server.py
+++ b/tests/support/simulated_server.py
@@ -104,7 +104,7 @@
             done.append(attempt)
         return done
 
-    def peak_load(self) -> float:
+    def compute_peak_load_ratio(self) -> float:
         """Compute the highest ratio, over windows in slow start, of arrivals to those that are tolerated.
 
         The arrivals allowed follow from the present capacity times OVERLOAD_FACTOR. Only windows count in
--- a/tests/support/simulator_frames.py
+++ b/tests/support/simulator_frames.py
@@ -7,7 +7,7 @@
 
 from limiter.simulator import adapter
 
-SERVER = bytes.fromhex("0a124a071f93")
+SERVER_ID = bytes.fromhex("0a124a071f93")
 SETTINGS_TEXT = b"""classes.count=1
 classes.0.aim=2000.0
 classes.0.deadline=6000.0
@@ -25,33 +25,33 @@
 """
 
 
-def batch_header(record_count: int, length: int, now: float = 0.0) -> bytes:
+def encode_batch_header(record_count: int, length: int, now: float = 0.0) -> bytes:
     """Return the header of a batch; `length` counts the eight bytes of the clock too."""
     return struct.pack(">IId", record_count, length, now)
 
 
-def batch(now: float, *records: bytes) -> bytes:
+def encode_batch(now: float, *records: bytes) -> bytes:
     """Return a well-formed batch of these records."""
     body = b"".join(records)
-    return batch_header(len(records), len(body) + 8, now) + body
+    return encode_batch_header(len(records), len(body) + 8, now) + body
 
 
-def open_instance(instance: int = 3, settings_text: bytes = SETTINGS_TEXT) -> bytes:
+def encode_open_instance(instance: int = 3, settings_text: bytes = SETTINGS_TEXT) -> bytes:
     """Return an OPEN_INSTANCE record."""
     return struct.pack(">BHQI", 19, instance, 7, len(settings_text)) + settings_text
 
 
-def endpoint_page(state: int = 1) -> bytes:
+def encode_endpoint_page(state: int = 1) -> bytes:
     """Return a PAGE record, number 0, that lists SERVER in this state."""
-    return struct.pack(">BII", 27, 0, 1) + struct.pack(">HdH6sfHB", 0, 0.0, 0, SERVER, 1.0, 0, state)
+    return struct.pack(">BII", 27, 0, 1) + struct.pack(">HdH6sfHB", 0, 0.0, 0, SERVER_ID, 1.0, 0, state)
 
 
-def registry(instance: int = 3, form: int = 2) -> bytes:
+def encode_registry(instance: int = 3, form: int = 2) -> bytes:
     """Return a REGISTRY record that refers to page 0."""
     return struct.pack(">BHBQI", 17, instance, form, 41, 0)
 
 
-def client_request(request_id: int, instance: int = 3) -> bytes:
+def encode_client_request(request_id: int, instance: int = 3) -> bytes:
     """Return a CALL record."""
     return struct.pack(">BHIHfHQBffd", 20, instance, request_id, 0, 1.0, 0, 5, 0, 2.0, 3.0, 6000.0)
 
--- a/tests/transport/conftest.py
+++ b/tests/transport/conftest.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from tests.support.harness import HarnessOptions, LimiterHarness, marked_options, running_limiter
-from tests.support.waiting import PATIENCE_SECONDS
+from tests.support.harness import HarnessOptions, LimiterHarness, get_marked_options, running_limiter
+from tests.support.waiting import WAIT_TIMEOUT_SECONDS
 
 # Longest time that an asynchronous test may take. Without it, a test would wait for ever for an event that
 # does not come. Three waits, each as long as it may take on a busy machine, fit into it.
-TEST_TIMEOUT_SECONDS = 3 * PATIENCE_SECONDS
+TEST_TIMEOUT_SECONDS = 3 * WAIT_TIMEOUT_SECONDS
 
 
 def _with_timeout(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., Coroutine[Any, Any, None]]:
@@ -36,7 +36,7 @@
 @pytest.fixture
 def harness_options(request: pytest.FixtureRequest) -> HarnessOptions:
     """Return the options that the test's `limiter_with` mark gives to its harness."""
-    return marked_options(request.node)
+    return get_marked_options(request.node)
 
 
 @pytest.fixture
--- a/tests/transport/test_bad_requests.py
+++ b/tests/transport/test_bad_requests.py
@@ -7,8 +7,8 @@
 import pytest
 import pytest_asyncio
 
-from tests.support.client import http_request
-from tests.support.fake_server import request_ids
+from tests.support.client import build_request
+from tests.support.fake_server import list_request_ids
 from tests.support.harness import LimiterHarness, running_limiter
 
 MAX_BODY_BYTES = 65_536  # The protocol's limit on the body of a request.
@@ -29,70 +29,70 @@
         400,
     ),
     "the same length twice": (b"POST /x HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\na", 400),
-    "negative length": (http_request("submit", headers={"Content-Length": "-1"}), 400),
-    "length with a sign": (http_request("submit", headers={"Content-Length": "+1"}), 400),
-    "length with an underscore": (http_request("submit", headers={"Content-Length": "1_0"}), 400),
-    "list of lengths": (http_request("submit", headers={"Content-Length": "1, 1"}), 400),
-    "length of forty digits": (http_request("submit", headers={"Content-Length": "9" * 40}), 400),
+    "negative length": (build_request("submit", headers={"Content-Length": "-1"}), 400),
+    "length with a sign": (build_request("submit", headers={"Content-Length": "+1"}), 400),
+    "length with an underscore": (build_request("submit", headers={"Content-Length": "1_0"}), 400),
+    "list of lengths": (build_request("submit", headers={"Content-Length": "1, 1"}), 400),
+    "length of forty digits": (build_request("submit", headers={"Content-Length": "9" * 40}), 400),
     "unknown transfer coding": (
-        http_request("submit", without_header="Content-Length", headers={"Transfer-Encoding": "gzip"}),
+        build_request("submit", without_header="Content-Length", headers={"Transfer-Encoding": "gzip"}),
         400,
     ),
-    "bare line feeds": (http_request().replace(b"\r\n", b"\n"), 400),
-    "one bare line feed": (http_request().replace(b"\r\nX-Class", b"\nX-Class"), 400),
-    "folded header": (http_request().replace(b"X-Class: read", b"X-Class:\r\n read"), 400),
-    "space before the colon": (http_request("submit").replace(b"Content-Length:", b"Content-Length :"), 400),
-    "null byte in a header": (http_request(headers={"X-Note": "a\0b"}), 400),
-    "body of a GET": (http_request(headers={"Content-Length": "3"}) + b"abc", 400),
+    "bare line feeds": (build_request().replace(b"\r\n", b"\n"), 400),
+    "one bare line feed": (build_request().replace(b"\r\nX-Class", b"\nX-Class"), 400),
+    "folded header": (build_request().replace(b"X-Class: read", b"X-Class:\r\n read"), 400),
+    "space before the colon": (build_request("submit").replace(b"Content-Length:", b"Content-Length :"), 400),
+    "null byte in a header": (build_request(headers={"X-Note": "a\0b"}), 400),
+    "body of a GET": (build_request(headers={"Content-Length": "3"}) + b"abc", 400),
 }
 INVALID_PROTOCOL_HEADERS = {
-    "request id with a space": (http_request(headers={"X-Request-Id": "a b"}), 400),
-    "request id too long": (http_request(headers={"X-Request-Id": "a" * 200}), 400),
-    "units with an underscore": (http_request(headers={"X-Weight": "units=1_0,spread=1,first=0"}), 400),
-    "negative units": (http_request(headers={"X-Weight": "units=-1,spread=1,first=0"}), 400),
-    "no units": (http_request(headers={"X-Weight": "units=0,spread=1,first=0"}), 400),
+    "request id with a space": (build_request(headers={"X-Request-Id": "a b"}), 400),
+    "request id too long": (build_request(headers={"X-Request-Id": "a" * 200}), 400),
+    "units with an underscore": (build_request(headers={"X-Weight": "units=1_0,spread=1,first=0"}), 400),
+    "negative units": (build_request(headers={"X-Weight": "units=-1,spread=1,first=0"}), 400),
+    "no units": (build_request(headers={"X-Weight": "units=0,spread=1,first=0"}), 400),
     "more units than the settings allow": (
-        http_request(headers={"X-Weight": "units=2,spread=1,first=0"}),
+        build_request(headers={"X-Weight": "units=2,spread=1,first=0"}),
         400,
     ),
-    "units twice": (http_request(headers={"X-Weight": "units=1,units=1,spread=1,first=0"}), 400),
-    "empty limiter set": (http_request(headers={"X-Weight": "units=1,spread=0,first=0"}), 400),
+    "units twice": (build_request(headers={"X-Weight": "units=1,units=1,spread=1,first=0"}), 400),
+    "empty limiter set": (build_request(headers={"X-Weight": "units=1,spread=0,first=0"}), 400),
     "limiter set larger than the fleet": (
-        http_request(headers={"X-Weight": "units=1,spread=2,first=0"}),
+        build_request(headers={"X-Weight": "units=1,spread=2,first=0"}),
         400,
     ),
     "limiter set that starts beyond the fleet": (
-        http_request(headers={"X-Weight": "units=1,spread=1,first=1"}),
+        build_request(headers={"X-Weight": "units=1,spread=1,first=1"}),
         400,
     ),
-    "fractional limiter set": (http_request(headers={"X-Weight": "units=1,spread=0.5,first=0"}), 400),
-    "no request id": (http_request(without_header="X-Request-Id"), 400),
-    "no class": (http_request(without_header="X-Class"), 400),
-    "unknown class": (http_request("other"), 400),
-    "class that differs from the path's": (http_request(headers={"X-Class": "submit"}), 400),
-    "no plan": (http_request(without_header="X-Tariff"), 400),
-    "unknown plan": (http_request(headers={"X-Tariff": "gold"}), 400),
-    "no deadline": (http_request(without_header="X-Deadline-Ms"), 400),
-    "deadline that is no number": (http_request(headers={"X-Deadline-Ms": "soon"}), 400),
-    "deadline of zero": (http_request(headers={"X-Deadline-Ms": "0"}), 400),
-    "negative deadline": (http_request(headers={"X-Deadline-Ms": "-5"}), 400),
-    "deadline of thirty digits": (http_request(headers={"X-Deadline-Ms": "9" * 30}), 400),
-    "no weight": (http_request(without_header="X-Weight"), 400),
-    "infinite weight": (http_request(headers={"X-Weight": "units=inf,spread=1,first=0"}), 400),
-    "weight that is not a number": (http_request(headers={"X-Weight": "units=nan,spread=1,first=0"}), 400),
-    "incomplete weight": (http_request(headers={"X-Weight": "units=1,spread"}), 400),
-    "customer too short": (http_request(customer="1234"), 400),
-    "customer with a hexadecimal prefix": (http_request(customer="0x000000b4d65521"), 400),
-    "customer too large": (http_request(customer="f" * 16), 400),
-    "no idempotency key": (http_request("submit", without_header="Idempotency-Key"), 400),
-    "wrong method": (http_request().replace(b"GET", b"POST"), 400),
-    "header twice": (http_request().replace(b"\r\n\r\n", b"\r\nX-Class: submit\r\n\r\n"), 400),
+    "fractional limiter set": (build_request(headers={"X-Weight": "units=1,spread=0.5,first=0"}), 400),
+    "no request id": (build_request(without_header="X-Request-Id"), 400),
+    "no class": (build_request(without_header="X-Class"), 400),
+    "unknown class": (build_request("other"), 400),
+    "class that differs from the path's": (build_request(headers={"X-Class": "submit"}), 400),
+    "no plan": (build_request(without_header="X-Tariff"), 400),
+    "unknown plan": (build_request(headers={"X-Tariff": "gold"}), 400),
+    "no deadline": (build_request(without_header="X-Deadline-Ms"), 400),
+    "deadline that is no number": (build_request(headers={"X-Deadline-Ms": "soon"}), 400),
+    "deadline of zero": (build_request(headers={"X-Deadline-Ms": "0"}), 400),
+    "negative deadline": (build_request(headers={"X-Deadline-Ms": "-5"}), 400),
+    "deadline of thirty digits": (build_request(headers={"X-Deadline-Ms": "9" * 30}), 400),
+    "no weight": (build_request(without_header="X-Weight"), 400),
+    "infinite weight": (build_request(headers={"X-Weight": "units=inf,spread=1,first=0"}), 400),
+    "weight that is not a number": (build_request(headers={"X-Weight": "units=nan,spread=1,first=0"}), 400),
+    "incomplete weight": (build_request(headers={"X-Weight": "units=1,spread"}), 400),
+    "customer too short": (build_request(customer="1234"), 400),
+    "customer with a hexadecimal prefix": (build_request(customer="0x000000b4d65521"), 400),
+    "customer too large": (build_request(customer="f" * 16), 400),
+    "no idempotency key": (build_request("submit", without_header="Idempotency-Key"), 400),
+    "wrong method": (build_request().replace(b"GET", b"POST"), 400),
+    "header twice": (build_request().replace(b"\r\n\r\n", b"\r\nX-Class: submit\r\n\r\n"), 400),
 }
 TOO_LONG_BODIES = {
-    "body too long": (http_request("submit", body=b"x" * (MAX_BODY_BYTES + 1)), 413),
-    "declared length too long": (http_request("submit", headers={"Content-Length": "9999999999"}), 413),
+    "body too long": (build_request("submit", body=b"x" * (MAX_BODY_BYTES + 1)), 413),
+    "declared length too long": (build_request("submit", headers={"Content-Length": "9999999999"}), 413),
     "chunked body too long": (
-        http_request("submit", without_header="Content-Length", headers={"Transfer-Encoding": "chunked"})
+        build_request("submit", without_header="Content-Length", headers={"Transfer-Encoding": "chunked"})
         + b"8000\r\n%b\r\n" % (b"x" * 0x8000) * 3
         + b"0\r\n\r\n",
         413,
@@ -116,17 +116,17 @@
     """The connection is closed after the one response, and a good request is served."""
     client = await shared_harness.connect()
     client.send(data)
-    assert (await client.response()).status == status
+    assert (await client.read_response()).status == status
     client.writer.write_eof()
     assert await client.read_until_closed() == b""
     client.close()
-    largest_request = http_request("submit", request_id="good", body=b"x" * MAX_BODY_BYTES)
+    largest_request = build_request("submit", request_id="good", body=b"x" * MAX_BODY_BYTES)
     assert (await shared_harness.send_request(largest_request)).status == 200
     # This is all since the limiter started, so that a request of an earlier case would show if it came late.
-    assert set(request_ids(shared_harness.received)) == {"good"}
+    assert set(list_request_ids(shared_harness.received_requests)) == {"good"}
 
 
-SMUGGLED_REQUEST = http_request(request_id="hidden")
+SMUGGLED_REQUEST = build_request(request_id="hidden")
 
 
 @pytest.mark.parametrize(
@@ -146,10 +146,10 @@
 async def test_ambiguous_body_framing_smuggles_no_request(harness: LimiterHarness, framing: bytes) -> None:
     """A request within bytes that may be a body is never taken for a request of its own."""
     client = await harness.connect()
-    head = http_request("submit", without_header="Content-Length").removesuffix(b"\r\n")
+    head = build_request("submit", without_header="Content-Length").removesuffix(b"\r\n")
     client.send(head + framing + b"\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST)
-    assert (await client.response()).status == 400
+    assert (await client.read_response()).status == 400
     client.writer.write_eof()
     assert await client.read_until_closed() == b""
-    assert (await harness.send_request(http_request(request_id="good"))).status == 200
-    assert request_ids(harness.received) == ["good"]
+    assert (await harness.send_request(build_request(request_id="good"))).status == 200
+    assert list_request_ids(harness.received_requests) == ["good"]
--- a/tests/transport/test_counter_client.py
+++ b/tests/transport/test_counter_client.py
@@ -10,18 +10,18 @@
 from limiter.model.events import Outcome
 from limiter.transport.counter import counter_client as counter_client_module
 from limiter.transport.counter.counter_client import CounterClient, CounterClientOptions
-from tests.support.client import http_request
+from tests.support.client import build_request
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_server import never_respond
 from tests.support.harness import LimiterHarness, limiter_with
-from tests.support.limiter_settings import settings_with_quota
+from tests.support.limiter_settings import make_raw_settings_with_quota
 from tests.support.waiting import wait_until
 
 
 async def send_requests_until(harness: LimiterHarness, condition: Callable[[], bool]) -> None:
     """Send requests that may use the counter until the condition holds; each must be served or rejected."""
     while not condition():
-        assert (await harness.send_request(http_request())).status in (200, 429)
+        assert (await harness.send_request(build_request())).status in (200, 429)
         await asyncio.sleep(0.02)
 
 
@@ -47,17 +47,17 @@
         counter.reply_override = reply
         await call()
     client.close()
-    counter.server.close()
+    counter.listening_server.close()
     return outcomes
 
 
-@limiter_with(settings=settings_with_quota(rate=5.0, burst=10.0))
+@limiter_with(settings=make_raw_settings_with_quota(rate=5.0, burst=10.0))
 async def test_calls_have_the_protocols_form_and_late_replies_keep_their_order(
     harness: LimiterHarness,
 ) -> None:
     harness.counter.delay_seconds = 0.08  # Each call times out before its reply comes.
     for index in range(6):
-        assert (await harness.send_request(http_request(request_id=str(index)))).status in (200, 429)
+        assert (await harness.send_request(build_request(request_id=str(index)))).status in (200, 429)
         await asyncio.sleep(0.25)
     adds = [call for call in harness.counter.calls if call[0] == b"CNT.ADD"]
     assert len(adds) > 2
@@ -67,7 +67,7 @@
         assert 1 <= int(time_to_live) <= 60000
     assert harness.counter.accepted_connections == 1  # Late replies do not end the connection.
     harness.counter.delay_seconds = 0.0
-    assert (await harness.send_request(http_request(request_id="last"))).status in (200, 429)
+    assert (await harness.send_request(build_request(request_id="last"))).status in (200, 429)
 
 
 @pytest.mark.parametrize(
@@ -88,7 +88,7 @@
         b"*400000000\r\n",
     ],
 )
-@limiter_with(settings=settings_with_quota(rate=5.0, burst=4.0))
+@limiter_with(settings=make_raw_settings_with_quota(rate=5.0, burst=4.0))
 async def test_invalid_reply_ends_the_connection_and_requests_still_get_responses(
     harness: LimiterHarness, reply: bytes
 ) -> None:
@@ -117,42 +117,44 @@
     assert outcomes == [Outcome.OK, Outcome.TIMEOUT] * 4
 
 
-@limiter_with(settings=settings_with_quota(rate=5.0, burst=4.0))
+@limiter_with(settings=make_raw_settings_with_quota(rate=5.0, burst=4.0))
 async def test_counter_that_does_not_reply_is_connected_to_again(harness: LimiterHarness) -> None:
     harness.counter.delay_seconds = 30.0
     await send_requests_until(harness, lambda: harness.counter.accepted_connections >= 2)
 
 
-@limiter_with(settings=settings_with_quota(rate=5.0, burst=4.0))
+@limiter_with(settings=make_raw_settings_with_quota(rate=5.0, burst=4.0))
 async def test_counter_that_was_down_is_used_again(harness: LimiterHarness) -> None:
-    harness.counter.server.close()
+    harness.counter.listening_server.close()
     harness.counter.reply_override = b"?rubbish\r\n"  # An invalid reply ends the connection.
     await send_requests_until(harness, lambda: bool(harness.counter.calls))
     await asyncio.sleep(0.3)
-    assert (await harness.send_request(http_request())).status in (200, 429)
+    assert (await harness.send_request(build_request())).status in (200, 429)
     harness.counter.reply_override = None
     await harness.counter.listen()
     harness.counter.calls.clear()
     await send_requests_until(harness, lambda: bool(harness.counter.calls))
 
 
-@limiter_with(settings=settings_with_quota(rate=5.0, burst=10.0))
+@limiter_with(settings=make_raw_settings_with_quota(rate=5.0, burst=10.0))
 async def test_busy_counter_keeps_its_connection_and_requests_still_pass(harness: LimiterHarness) -> None:
     harness.counter.reply_override = b"-BUSY\r\n"
     statuses = [
-        (await harness.send_request(http_request(request_id=str(index)))).status for index in range(5)
+        (await harness.send_request(build_request(request_id=str(index)))).status for index in range(5)
     ]
     assert statuses[0] == 200
     assert harness.counter.accepted_connections == 1  # A rejection is a valid reply.
 
 
-@limiter_with(settings=settings_with_quota(rate=0.5, burst=1.0))
+@limiter_with(settings=make_raw_settings_with_quota(rate=0.5, burst=1.0))
 async def test_requests_held_for_the_counter_end_without_any_reply(harness: LimiterHarness) -> None:
     harness.discovery.is_responding = False
     harness.counter.delay_seconds = 5.0
     harness.servers[0].responder = never_respond
     requests = [
-        http_request(request_id=str(index), deadline_ms=400, headers={"X-Weight": "units=1,spread=2,first=0"})
+        build_request(
+            request_id=str(index), deadline_ms=400, headers={"X-Weight": "units=1,spread=2,first=0"}
+        )
         for index in range(10)
     ]
     responses = await asyncio.gather(*(harness.send_request(request) for request in requests))
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -9,16 +9,16 @@
 from limiter.transport.discovery.discovery_watch import DiscoveryWatch, DiscoveryWatchOptions
 from limiter.transport.discovery.endpoint_list import NameNumbering, parse_endpoint_list
 from limiter.transport.discovery.poll_pacing import PollPacing
-from tests.support.client import HEALTH_CHECK, http_request
+from tests.support.client import HEALTH_CHECK, build_request
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.harness import (
     HarnessOptions,
     LimiterHarness,
+    collect_response_bodies,
     limiter_with,
-    response_bodies,
-    wait_for_version,
+    wait_until_list_version_applied,
 )
-from tests.support.limiter_settings import known_list, settings
+from tests.support.limiter_settings import make_configured_endpoint_list, make_raw_settings
 from tests.support.waiting import wait_until
 
 REQUEST_COUNT = 12  # Enough requests for each server that is in use to get some of them.
@@ -27,33 +27,33 @@
 @limiter_with(servers=3)
 async def test_draining_and_removed_servers_get_no_new_requests(harness: LimiterHarness) -> None:
     first, second, third = harness.servers
-    harness.discovery.publish(first.list_entry("leaving"), second.list_entry("left"))
+    harness.discovery.publish(first.make_list_entry("leaving"), second.make_list_entry("left"))
     await wait_until(lambda: len(harness.discovery.calls) > 2)
-    await wait_for_version(harness, 2)
-    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-2"}
+    await wait_until_list_version_applied(harness, 2)
+    assert await collect_response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-2"}
     # A full list removes the servers that it does not name.
-    harness.discovery.publish(second.list_entry(), full_list=True)
-    await wait_for_version(harness, 3)
-    third.received.clear()
-    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-1"}
-    assert third.received == []
+    harness.discovery.publish(second.make_list_entry(), full_list=True)
+    await wait_until_list_version_applied(harness, 3)
+    third.received_requests.clear()
+    assert await collect_response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-1"}
+    assert third.received_requests == []
 
 
 @limiter_with(servers=2)
 async def test_server_that_moves_is_found_at_its_new_address(harness: LimiterHarness) -> None:
     moving, other = harness.servers
-    harness.discovery.publish(moving.list_entry(), full_list=True)
-    await wait_for_version(harness, 2)
-    assert await response_bodies(harness, "submit", 3) == {b"from s-0"}
-    harness.discovery.publish(moving.list_entry(hostPort=other.address))
-    await wait_for_version(harness, 3)
-    assert await response_bodies(harness, "submit", 3) == {b"from s-1"}
+    harness.discovery.publish(moving.make_list_entry(), full_list=True)
+    await wait_until_list_version_applied(harness, 2)
+    assert await collect_response_bodies(harness, "submit", 3) == {b"from s-0"}
+    harness.discovery.publish(moving.make_list_entry(hostPort=other.address))
+    await wait_until_list_version_applied(harness, 3)
+    assert await collect_response_bodies(harness, "submit", 3) == {b"from s-1"}
 
 
 async def test_calls_follow_on_one_connection_and_ask_for_changes(harness: LimiterHarness) -> None:
     for _ in range(5):
-        harness.discovery.publish(harness.servers[0].list_entry())
-        await wait_for_version(harness, harness.discovery.version)
+        harness.discovery.publish(harness.servers[0].make_list_entry())
+        await wait_until_list_version_applied(harness, harness.discovery.version)
     assert harness.discovery.accepted_connections == 1
     assert all("since=" in target for _, target in harness.discovery.calls[1:])
 
@@ -91,49 +91,49 @@
     await wait_until(
         lambda: harness.discovery.accepted_connections > connections_before, "another connection"
     )
-    assert (await harness.send_request(http_request())).body == b"from s-0"
+    assert (await harness.send_request(build_request())).body == b"from s-0"
     await wait_until(lambda: harness.discovery.calls[-1].target == "/catalog/members", "the full list")
     harness.discovery.body_override = None
-    harness.discovery.publish(harness.servers[0].list_entry(), full_list=True)
-    await wait_for_version(harness, harness.discovery.version)
-    assert (await harness.send_request(http_request())).body == b"from s-0"
+    harness.discovery.publish(harness.servers[0].make_list_entry(), full_list=True)
+    await wait_until_list_version_applied(harness, harness.discovery.version)
+    assert (await harness.send_request(build_request())).body == b"from s-0"
 
 
-@limiter_with(settings=settings(discovery="on_request"))
+@limiter_with(settings=make_raw_settings(discovery="on_request"))
 async def test_start_asks_for_the_changes_since_the_known_list(harness: LimiterHarness) -> None:
     assert harness.discovery.calls[0].target == "/catalog/members?since=1&timeout_ms=1"
-    assert (await harness.send_request(http_request())).body == b"from s-0"
+    assert (await harness.send_request(build_request())).body == b"from s-0"
 
 
 @limiter_with(servers=2)
 async def test_start_asks_for_the_full_list_where_lists_are_pushed(harness: LimiterHarness) -> None:
     """Each agent numbers its lists on its own: changes since another agent's version would miss some."""
     listed, unlisted = harness.servers
-    known = known_list(listed.list_entry(), unlisted.list_entry())
+    known = make_configured_endpoint_list(listed.make_list_entry(), unlisted.make_list_entry())
     harness.discovery.version = 9
     harness.discovery.full_list = False
-    harness.discovery.entries = [listed.list_entry()]
+    harness.discovery.entries = [listed.make_list_entry()]
     harness.process.kill()
     await harness.process.wait()
     await harness.restart(known=known)
     target = harness.discovery.calls[-1].target
     assert target == "/catalog/members" or "since=9" in target
-    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
-    assert unlisted.received == []
+    assert await collect_response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
+    assert unlisted.received_requests == []
 
 
-@limiter_with(servers=2, settings=settings(discovery="on_request"))
+@limiter_with(servers=2, settings=make_raw_settings(discovery="on_request"))
 async def test_overloaded_discovery_is_asked_again_for_no_more_than_the_changes(
     harness: LimiterHarness,
 ) -> None:
     harness.discovery.status = 503
-    harness.discovery.publish(harness.servers[1].list_entry("leaving"))
+    harness.discovery.publish(harness.servers[1].make_list_entry("leaving"))
     calls_before = len(harness.discovery.calls)
     await wait_until(lambda: len(harness.discovery.calls) > calls_before + 2, "more calls")
     harness.discovery.status = 200
-    await wait_for_version(harness, 2)
+    await wait_until_list_version_applied(harness, 2)
     assert all("since=" in target for _, target in harness.discovery.calls)
-    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
+    assert await collect_response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
 
 
 class RecordedWatch:
@@ -187,33 +187,33 @@
     recorded.watch.allow_next_poll()
     await wait_until(lambda: recorded.changes)
     recorded.watch.close()
-    discovery.server.close()
+    discovery.listening_server.close()
     assert recorded.failures[:2] == [True, True]
     assert recorded.changes[0] == (0, True, False)
 
 
-@limiter_with(servers=2, settings=settings(discovery="on_request", peersTotal=200))
+@limiter_with(servers=2, settings=make_raw_settings(discovery="on_request", peersTotal=200))
 async def test_one_of_many_limiters_reads_the_changes_within_six_seconds_after_an_overload(
     harness: LimiterHarness,
 ) -> None:
     """In a trial with 200 limiters whose calls were rejected for 3 s, the next call came 24 s later."""
     await wait_until(lambda: harness.discovery.response_times)
     harness.discovery.status = 503
-    harness.discovery.publish(harness.servers[1].list_entry("leaving"))
+    harness.discovery.publish(harness.servers[1].make_list_entry("leaving"))
     responses_before = len(harness.discovery.response_times)
     await wait_until(lambda: len(harness.discovery.response_times) > responses_before, "a rejected call")
     harness.discovery.status = 200
     began = time.monotonic()
-    await wait_for_version(harness, 2)
+    await wait_until_list_version_applied(harness, 2)
     assert time.monotonic() - began < 6.0
-    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
+    assert await collect_response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
 
 
 async def test_lower_version_leads_to_the_full_list(harness: LimiterHarness) -> None:
     harness.discovery.version = 0
     harness.discovery.full_list = False
     harness.discovery.ends_next_watch = True  # The agent responds to the open watch with its present version.
-    await wait_for_version(harness, 0)
+    await wait_until_list_version_applied(harness, 0)
     assert any(target == "/catalog/members" for _, target in harness.discovery.calls)
 
 
@@ -235,8 +235,10 @@
 @pytest.mark.parametrize(
     "harness_options",
     [
-        pytest.param(HarnessOptions(servers=2, settings=settings(discovery="pushed")), id="pushed"),
-        pytest.param(HarnessOptions(servers=2, settings=settings(discovery="on_request")), id="on_request"),
+        pytest.param(HarnessOptions(servers=2, settings=make_raw_settings(discovery="pushed")), id="pushed"),
+        pytest.param(
+            HarnessOptions(servers=2, settings=make_raw_settings(discovery="on_request")), id="on_request"
+        ),
     ],
 )
 async def test_discovery_that_does_not_respond_is_asked_in_short_calls(
@@ -245,14 +247,14 @@
     """With one long call, a change was missed for as long as that call waited."""
     await wait_until(lambda: harness.discovery.response_times)
     harness.discovery.is_responding = False
-    harness.discovery.publish(harness.servers[1].list_entry("leaving"))
+    harness.discovery.publish(harness.servers[1].make_list_entry("leaving"))
     connections_before = harness.discovery.accepted_connections
     await wait_until(lambda: harness.discovery.accepted_connections > connections_before + 2, "more calls")
     for _, target in harness.discovery.calls[-2:]:
         assert target.endswith("timeout_ms=1")
     harness.discovery.is_responding = True
-    await wait_for_version(harness, 2)
-    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
+    await wait_until_list_version_applied(harness, 2)
+    assert await collect_response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
 
 
 @limiter_with(servers=2)
@@ -263,9 +265,9 @@
     connections_before = harness.discovery.accepted_connections
     await wait_until(lambda: harness.discovery.accepted_connections > connections_before, "a new connection")
     harness.discovery.is_responding = True
-    harness.discovery.publish(harness.servers[1].list_entry("leaving"))
-    await wait_for_version(harness, 2)
-    assert await response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
+    harness.discovery.publish(harness.servers[1].make_list_entry("leaving"))
+    await wait_until_list_version_applied(harness, 2)
+    assert await collect_response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
 
 
 REMOVED_SERVER = {"instanceId": "s-9", "hostPort": "127.0.0.1:9", "lifecycle": "left"}
@@ -274,13 +276,13 @@
 @limiter_with(wait_ready=False, entries=[REMOVED_SERVER])
 async def test_limiter_is_ready_only_once_a_server_is_known(harness: LimiterHarness) -> None:
     assert (await harness.send_request(HEALTH_CHECK)).status == 503
-    harness.discovery.publish(harness.servers[0].list_entry())
-    await harness.wait_ready()
-    assert (await harness.send_request(http_request())).status == 200
+    harness.discovery.publish(harness.servers[0].make_list_entry())
+    await harness.wait_until_healthy()
+    assert (await harness.send_request(build_request())).status == 200
 
 
 @limiter_with(wait_ready=False, discovery_responds=False)
 async def test_known_list_is_used_while_discovery_does_not_respond(harness: LimiterHarness) -> None:
-    await harness.wait_ready()
-    assert (await harness.send_request(http_request())).body == b"from s-0"
+    await harness.wait_until_healthy()
+    assert (await harness.send_request(build_request())).body == b"from s-0"
     assert harness.discovery.response_times == []
--- a/tests/transport/test_gossip_socket.py
+++ b/tests/transport/test_gossip_socket.py
@@ -13,9 +13,9 @@
 from limiter.configuration.addresses import Address
 from limiter.configuration.config import ConfigError
 from limiter.configuration.config_parser import parse_config
-from tests.support.client import Response, http_request
+from tests.support.client import Response, build_request
 from tests.support.harness import HarnessOptions, LimiterHarness, limiter_with
-from tests.support.limiter_settings import settings, settings_with_quota
+from tests.support.limiter_settings import make_raw_settings, make_raw_settings_with_quota
 from tests.support.waiting import wait_until
 
 MAX_MESSAGE_BYTES = 256
@@ -75,7 +75,7 @@
 
 def gossip_settings(**changes: Any) -> dict[str, Any]:
     """Return settings with gossip in which each of two limiters has under a unit of a customer's burst."""
-    made = settings_with_quota(rate=1.0, burst=1.0)
+    made = make_raw_settings_with_quota(rate=1.0, burst=1.0)
     made["limits"] = {**made["limits"], "peers": True}
     made["extra"] = {**made["extra"], "mailPerS": 40}
     return {**made, **changes}
@@ -109,7 +109,7 @@
 ) -> Response:
     """Send a request of the customer and return its response."""
     return await harness.send_request(
-        http_request(request_id=request_id, customer=f"{customer:016x}", headers=headers)
+        build_request(request_id=request_id, customer=f"{customer:016x}", headers=headers)
     )
 
 
@@ -139,7 +139,7 @@
     """Let discovery reject calls, so that it does not say that s-1 drains; wait for the limiter's report."""
     await wait_until(lambda: harness.discovery.response_times)
     harness.discovery.status = 503
-    harness.discovery.publish(harness.servers[1].list_entry("leaving"))
+    harness.discovery.publish(harness.servers[1].make_list_entry("leaving"))
     await wait_until(lambda: peer.received(REJECTED_CALL_PREFIX), "the report of a rejected call")
 
 
@@ -186,6 +186,6 @@
 
 
 def test_without_addresses_of_peers_there_is_no_gossip() -> None:
-    made = settings(limits={**settings()["limits"], "peers": True})
+    made = make_raw_settings(limits={**make_raw_settings()["limits"], "peers": True})
     document = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "settings": made}
     assert not parse_config(document).settings.may_gossip
--- a/tests/transport/test_graceful_shutdown.py
+++ b/tests/transport/test_graceful_shutdown.py
@@ -10,8 +10,8 @@
 from limiter.process import shutdown
 from limiter.transport.clients.connection_registry import IDLE_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS
 from limiter.transport.clients.listener import Listener
-from tests.support.client import REQUEST_ID, http_request
-from tests.support.fake_server import FakeServer, ReceivedRequest, never_respond, request_ids
+from tests.support.client import REQUEST_ID, build_request
+from tests.support.fake_server import FakeServer, ReceivedRequest, list_request_ids, never_respond
 from tests.support.in_process_limiter import RawClient, in_process_limiter
 from tests.support.waiting import wait_until
 
@@ -22,18 +22,18 @@
         listener.start_draining()
         clients = [RawClient(listener) for _ in range(3)]
         for number, client in enumerate(clients):
-            client.send(http_request(request_id=str(number)))
+            client.send(build_request(request_id=str(number)))
         listener.stop_accepting()
         for client in clients:
-            assert (await client.response()).body == b"from s-0"
+            assert (await client.read_response()).body == b"from s-0"
 
 
 async def connect_client(listener: Listener, *, is_reused: bool) -> RawClient:
     """Connect a client; return once its first request was served, or once a silent connection is accepted."""
     client = RawClient(listener)
     if is_reused:
-        client.send(http_request(request_id="1"))
-        assert (await client.response()).body == b"from s-0"
+        client.send(build_request(request_id="1"))
+        assert (await client.read_response()).body == b"from s-0"
     else:
         await wait_until(lambda: listener.registry.new)
     return client
@@ -49,9 +49,9 @@
             listener.registry.new[connection] -= 1.0  # It was opened some time ago.
         listener.start_draining()
         listener.stop_accepting()
-        client.send(http_request(request_id="2"))
+        client.send(build_request(request_id="2"))
         assert listener.close_idle_connections()
-        assert (await client.response()).body == b"from s-0"
+        assert (await client.read_response()).body == b"from s-0"
 
 
 @pytest.mark.parametrize("is_reused", [True, False])
@@ -64,9 +64,9 @@
         await wait_until(lambda: connections)
         [connection] = connections
         connections[connection] -= timeout_seconds + 1.0
-        client.send(http_request(request_id="2"))
+        client.send(build_request(request_id="2"))
         listener.registry.close_expired_connections()
-        assert (await client.response()).body == b"from s-0"
+        assert (await client.read_response()).body == b"from s-0"
 
 
 async def test_a_partial_request_is_served_when_listening_ends(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -75,18 +75,18 @@
     monkeypatch.setattr(shutdown, "FLUSH_SECONDS", 0.0)
     async with in_process_limiter(FakeServer("s-0")) as (proxy, listener):
         client = RawClient(listener)
-        client.send(http_request()[:40])
+        client.send(build_request()[:40])
         await wait_until(lambda: listener.registry.reading)
         draining = asyncio.create_task(shutdown.shut_down_gracefully(listener, proxy))
         await wait_until(lambda: listener.socket.fileno() < 0, "listening has ended")
-        client.send(http_request()[40:])
-        assert (await client.response()).body == b"from s-0"
+        client.send(build_request()[40:])
+        assert (await client.read_response()).body == b"from s-0"
         await draining
 
 
 def received_by(servers: list[FakeServer]) -> list[ReceivedRequest]:
     """Return all requests that these servers received."""
-    return [request for server in servers for request in server.received]
+    return [request for server in servers for request in server.received_requests]
 
 
 async def test_a_request_that_is_ended_is_not_retried() -> None:
@@ -96,15 +96,15 @@
         server.responder = never_respond
     async with in_process_limiter(*servers) as (proxy, listener):
         client = RawClient(listener)
-        client.send(http_request())
+        client.send(build_request())
         await wait_until(lambda: received_by(servers))
         for request in proxy.requests.list_unanswered():
             proxy.forwarder.end_request(request)
-        assert (await client.response()).status == 503
-        client.send(http_request("order", request_id="2"))
+        assert (await client.read_response()).status == 503
+        client.send(build_request("order", request_id="2"))
         # A retry of the first request would have been sent before the second one.
         await wait_until(lambda: len(received_by(servers)) > 1)
-        assert request_ids(received_by(servers)).count(REQUEST_ID) == 1
+        assert list_request_ids(received_by(servers)).count(REQUEST_ID) == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/transport/test_lifecycle.py
+++ b/tests/transport/test_lifecycle.py
@@ -18,10 +18,10 @@
 from limiter.model.events import Event, TimerFired
 from limiter.transport.clock import Clock
 from limiter.transport.driver.proxy import Proxy
-from tests.support.client import http_request
+from tests.support.client import build_request
 from tests.support.fake_server import never_respond, respond_after, respond_with
-from tests.support.harness import ROOT, LimiterHarness, launch_limiter, limiter_with
-from tests.support.limiter_settings import configuration, settings, settings_with_quota
+from tests.support.harness import REPOSITORY_ROOT, LimiterHarness, launch_limiter, limiter_with
+from tests.support.limiter_settings import make_raw_config, make_raw_settings, make_raw_settings_with_quota
 from tests.support.waiting import wait_until
 
 # Configuration
@@ -33,31 +33,40 @@
 BAD_CONFIGURATIONS: dict[str, tuple[Any, str]] = {
     "not JSON": ("{", "RELAY_CONFIG"),
     "not an object": ("[]", "RELAY_CONFIG"),
-    "no settings": (configuration(settings=None), "settings"),
-    "listen": (configuration(listen="here"), "listen"),
-    "port": (configuration(listen="127.0.0.1:99999"), "listen"),
-    "discovery": (configuration(discovery=7), "discovery"),
-    "seed": (configuration(seed="xyz"), "seed"),
-    "sockets": (configuration(limits={"sockets": "many"}), "limits.sockets"),
-    "counter": (configuration(settings=settings_with_quota(1.0, 2.0), counter=None), "counter"),
-    "known": (configuration(known={"generation": 1, "instances": [{}]}), "known"),
-    "effect": (configuration(settings=settings(classes=[{"name": "a", "effect": "odd"}])), "classes.0"),
-    "gateways": (configuration(settings=settings(peersTotal=0)), "limiter_count"),
-    "no plan": (configuration(settings=settings(contracts=[])), "contracts.count"),
-    "number in place of names": (configuration(settings=settings(localities=3)), "settings.localities"),
-    "integer that no float holds": (configuration(settings=settings(me=10**400)), "limiter_index"),
+    "no settings": (make_raw_config(settings=None), "settings"),
+    "listen": (make_raw_config(listen="here"), "listen"),
+    "port": (make_raw_config(listen="127.0.0.1:99999"), "listen"),
+    "discovery": (make_raw_config(discovery=7), "discovery"),
+    "seed": (make_raw_config(seed="xyz"), "seed"),
+    "sockets": (make_raw_config(limits={"sockets": "many"}), "limits.sockets"),
+    "counter": (make_raw_config(settings=make_raw_settings_with_quota(1.0, 2.0), counter=None), "counter"),
+    "known": (make_raw_config(known={"generation": 1, "instances": [{}]}), "known"),
+    "effect": (
+        make_raw_config(settings=make_raw_settings(classes=[{"name": "a", "effect": "odd"}])),
+        "classes.0",
+    ),
+    "gateways": (make_raw_config(settings=make_raw_settings(peersTotal=0)), "limiter_count"),
+    "no plan": (make_raw_config(settings=make_raw_settings(contracts=[])), "contracts.count"),
+    "number in place of names": (
+        make_raw_config(settings=make_raw_settings(localities=3)),
+        "settings.localities",
+    ),
+    "integer that no float holds": (make_raw_config(settings=make_raw_settings(me=10**400)), "limiter_index"),
     "classes as an object": (
-        configuration(
-            settings=settings(classes={"count": 1, "0": {"aim": 1, "deadline": 2, "effect": "once"}})
+        make_raw_config(
+            settings=make_raw_settings(classes={"count": 1, "0": {"aim": 1, "deadline": 2, "effect": "once"}})
         ),
         "settings.classes",
     ),
-    "endless plans": (configuration(settings=settings(contracts={"count": 10**12})), "settings.contracts"),
+    "endless plans": (
+        make_raw_config(settings=make_raw_settings(contracts={"count": 10**12})),
+        "settings.contracts",
+    ),
     "plan without an object": (
-        configuration(settings=settings(contracts=[{"name": "a"}, "b"])),
+        make_raw_config(settings=make_raw_settings(contracts=[{"name": "a"}, "b"])),
         "settings.contracts",
     ),
-    "not Unicode": (configuration(settings=settings(localities=["\ud800"])), "settings: "),
+    "not Unicode": (make_raw_config(settings=make_raw_settings(localities=["\ud800"])), "settings: "),
 }
 
 
@@ -107,7 +116,7 @@
 async def test_the_policys_timers_never_fire_early() -> None:
     """The policy ignores a timer that fires before its time, and its housekeeping would stop for good."""
     clock = Clock()
-    proxy = Proxy(parse_config(configuration()), clock)
+    proxy = Proxy(parse_config(make_raw_config()), clock)
     due_ms = {token: clock() + 10.0 + token for token in range(5)}
     recorder = TimerRecorder(due_ms)
     proxy.engine = recorder  # type: ignore[assignment]
@@ -129,17 +138,17 @@
     harness.servers[0].responder = respond_after(released, respond_with(200, b"complete"))
     waiting = await harness.connect()
     idle = await harness.connect()
-    waiting.send(http_request())
-    await wait_until(lambda: harness.received)
+    waiting.send(build_request())
+    await wait_until(lambda: harness.received_requests)
     harness.process.send_signal(signal.SIGTERM)
     newcomer = await harness.connect()
-    newcomer.send(http_request(request_id="2"))
+    newcomer.send(build_request(request_id="2"))
     await wait_until(
-        lambda: len(harness.received) == 2 and any("stopping" in line for line in harness.log_lines)
+        lambda: len(harness.received_requests) == 2 and any("stopping" in line for line in harness.log_lines)
     )
     released.set()
     for client in (waiting, newcomer):
-        response = await client.response()
+        response = await client.read_response()
         assert (response.status, response.body) == (200, b"complete")
         assert response.headers["connection"] == "close"
         assert await client.read_until_closed() == b""
@@ -153,12 +162,12 @@
     harness.servers[0].responder = never_respond
     keyed = await harness.connect()
     idempotent = await harness.connect()
-    keyed.send(http_request("submit", deadline_ms=60000))
-    idempotent.send(http_request(request_id="2", deadline_ms=60000))
-    await wait_until(lambda: len(harness.received) == 2)
+    keyed.send(build_request("submit", deadline_ms=60000))
+    idempotent.send(build_request(request_id="2", deadline_ms=60000))
+    await wait_until(lambda: len(harness.received_requests) == 2)
     harness.process.send_signal(signal.SIGTERM)
-    assert (await keyed.response()).status in (502, 504)
-    assert (await idempotent.response()).status in (429, 502, 503, 504)
+    assert (await keyed.read_response()).status in (502, 504)
+    assert (await idempotent.read_response()).status in (429, 502, 503, 504)
     assert await harness.process.wait() == 0
 
 
@@ -171,26 +180,26 @@
     clients = []
     for _ in range(150):  # The limit of 64 descriptors allows far fewer.
         clients.append(await harness.connect())
-    await wait_until(lambda: harness.descriptors() >= 20)
+    await wait_until(lambda: harness.count_open_descriptors() >= 20)
     for client in clients:
         client.close()
     for number in range(5):
-        assert (await harness.send_request(http_request(request_id=str(number)))).body == b"from s-0"
+        assert (await harness.send_request(build_request(request_id=str(number)))).body == b"from s-0"
     assert harness.process.returncode is None
 
 
 async def test_a_descriptor_limit_below_the_configurations_is_survived(harness: LimiterHarness) -> None:
     """The limit is lowered while the process runs; idle connections are closed for those with requests."""
-    limit = harness.descriptors() + 3
+    limit = harness.count_open_descriptors() + 3
     resource.prlimit(harness.process.pid, resource.RLIMIT_NOFILE, (limit, limit))
     clients = [await harness.connect() for _ in range(40)]
     for number in range(3):
-        clients[-1].send(http_request(request_id=str(number)))
+        clients[-1].send(build_request(request_id=str(number)))
     await asyncio.sleep(0.3)
     for client in clients:
         client.close()
     await asyncio.sleep(0.3)
-    assert (await harness.send_request(http_request(request_id="after"))).status in (200, 503)
+    assert (await harness.send_request(build_request(request_id="after"))).status in (200, 503)
     assert harness.process.returncode is None
 
 
@@ -200,8 +209,8 @@
     harness.servers[0].responder = never_respond
     clients = [await harness.connect() for _ in range(60)]
     for number, client in enumerate(clients):
-        client.send(http_request(request_id=str(number), deadline_ms=1500))
-    results = await asyncio.gather(*(client.response() for client in clients), return_exceptions=True)
+        client.send(build_request(request_id=str(number), deadline_ms=1500))
+    results = await asyncio.gather(*(client.read_response() for client in clients), return_exceptions=True)
     responses = [result for result in results if not isinstance(result, BaseException)]
     assert {response.status for response in responses} <= {429, 503, 504}
     assert len(responses) > 20
@@ -209,7 +218,7 @@
 
 def test_the_deploy_file_names_existing_paths() -> None:
     """It runs this program, and needs no system packages."""
-    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert all((ROOT / path).exists() for path in deploy["policy"] + deploy["node"])
+    deploy = tomllib.loads((REPOSITORY_ROOT / "deploy" / "balancer.toml").read_text())
+    assert all((REPOSITORY_ROOT / path).exists() for path in deploy["policy"] + deploy["node"])
     assert deploy["run"].endswith("-m limiter")
     assert json.dumps(deploy["packages"]) == "[]"
--- a/tests/transport/test_paused_process.py
+++ b/tests/transport/test_paused_process.py
@@ -21,11 +21,11 @@
 from limiter.transport.servers.server_connection import ServerConnection
 from limiter.transport.servers.server_pool import MIN_IDLE_BEFORE_REUSE_SECONDS
 from limiter.transport.sockets import has_peer_disconnected
-from tests.support.client import HEALTH_CHECK, Connection, http_request
-from tests.support.fake_server import FakeServer, HeldResponses, request_ids, respond_with
-from tests.support.harness import LimiterHarness, limiter_with, wait_for_list_read
+from tests.support.client import HEALTH_CHECK, Connection, build_request
+from tests.support.fake_server import FakeServer, HeldResponses, list_request_ids, respond_with
+from tests.support.harness import LimiterHarness, limiter_with, wait_until_latest_list_applied
 from tests.support.in_process_limiter import RawClient, in_process_limiter
-from tests.support.limiter_settings import settings_with_quota
+from tests.support.limiter_settings import make_raw_settings_with_quota
 from tests.support.waiting import wait_until
 
 # A client that has disconnected: no attempt starts after that, even if the limiter has not read the end yet
@@ -67,10 +67,12 @@
         forwarded_ids: ids of all other requests that servers may have received since they were last cleared.
     """
     harness.process.send_signal(signal.SIGCONT)
-    assert (await harness.send_request(http_request(request_id="mark", customer="7".zfill(16)))).status == 200
-    assert request_ids(harness.received) == [*forwarded_ids, "mark"]
+    assert (
+        await harness.send_request(build_request(request_id="mark", customer="7".zfill(16)))
+    ).status == 200
+    assert list_request_ids(harness.received_requests) == [*forwarded_ids, "mark"]
     for server in harness.servers:
-        server.received.clear()
+        server.received_requests.clear()
 
 
 async def open_idle_connections(harness: LimiterHarness, count: int) -> HeldResponses:
@@ -78,15 +80,15 @@
     held = harness.servers[0].responder = HeldResponses()
     clients = [await harness.connect() for _ in range(count)]
     for number, client in enumerate(clients):
-        client.send(http_request(request_id=f"{number}", customer=f"{16 + number:016x}"))
+        client.send(build_request(request_id=f"{number}", customer=f"{16 + number:016x}"))
     await wait_until(lambda: len(held.writers) == count)
     held.release()
     for client in clients:
-        assert (await client.response()).status == 200
+        assert (await client.read_response()).status == 200
     reusable_at = time.monotonic() + 2 * MIN_IDLE_BEFORE_REUSE_SECONDS
     await wait_until(lambda: time.monotonic() > reusable_at)
     for server in harness.servers:
-        server.received.clear()
+        server.received_requests.clear()
     return held
 
 
@@ -97,13 +99,13 @@
     """Its connection has carried a request before, has carried none, or is new."""
     reused = await harness.connect()
     silent = await harness.connect()
-    reused.send(http_request(request_id="1"))
-    assert (await reused.response()).status == 200
+    reused.send(build_request(request_id="1"))
+    assert (await reused.read_response()).status == 200
     await open_idle_connections(harness, 3)
     harness.servers[0].responder = respond_with(200)
     await pause(harness)
     for number, client in enumerate((reused, silent, await harness.connect())):
-        client.send(http_request(request_id=f"disconnected-{number}"))
+        client.send(build_request(request_id=f"disconnected-{number}"))
         await disconnect(client, way)
     await resume(harness)
 
@@ -116,7 +118,7 @@
     """Whether the attempt fails first or the client disconnects first."""
     held = await open_idle_connections(harness, 2)
     client = await harness.connect()
-    client.send(http_request(request_id="attempted"))
+    client.send(build_request(request_id="attempted"))
     await wait_until(lambda: held.writers)
     harness.servers[0].responder = respond_with(200)
     await pause(harness)
@@ -127,7 +129,7 @@
     await resume(harness, "attempted")
 
 
-QUOTA_SETTINGS = settings_with_quota(rate=1.0, burst=1.5)
+QUOTA_SETTINGS = make_raw_settings_with_quota(rate=1.0, burst=1.5)
 # A call to the counter times out after a second, in which the test pauses and resumes the limiter.
 PATIENT_SETTINGS = {**QUOTA_SETTINGS, "extra": {**QUOTA_SETTINGS["extra"], "countLimit": 1000.0}}
 
@@ -142,7 +144,7 @@
     harness.counter.delay_seconds = 60.0
     calls_before = len(harness.counter.calls)
     client = await harness.connect()
-    client.send(http_request(headers={"X-Weight": "units=1,spread=2,first=0"}))
+    client.send(build_request(headers={"X-Weight": "units=1,spread=2,first=0"}))
     await wait_until(lambda: len(harness.counter.calls) > calls_before, "the counter is called")
     await pause(harness)
     harness.counter.writers[0].write(b"$1\r\n1\r\n")
@@ -167,11 +169,11 @@
             monkeypatch.undo()
 
         monkeypatch.setattr(ServerConnection, "connection_made", disconnect_client)
-        leaving.send(http_request("order", request_id="disconnected"))
+        leaving.send(build_request("order", request_id="disconnected"))
         await wait_until(lambda: proxy.server_pool.connections.open, "the connection is up")
-        staying.send(http_request("order", request_id="mark"))
-        assert (await staying.response()).status == 200
-        assert request_ids(server.received) == ["mark"]
+        staying.send(build_request("order", request_id="mark"))
+        assert (await staying.read_response()).status == 200
+        assert list_request_ids(server.received_requests) == ["mark"]
         assert not proxy.requests.by_number
         assert not proxy.requests.client_request_ids
 
@@ -183,7 +185,7 @@
     """The limiter finds the response to the first request and the end of the client's connection at once."""
     held = await open_idle_connections(harness, 2)
     client = await harness.connect()
-    client.send(http_request("order", request_id="1") + http_request("order", request_id="2"))
+    client.send(build_request("order", request_id="1") + build_request("order", request_id="2"))
     await wait_until(lambda: held.writers)
     harness.servers[0].responder = respond_with(200)
     await pause(harness)
@@ -198,7 +200,7 @@
     held = server.responder = HeldResponses()
     async with in_process_limiter(server) as (proxy, listener):
         client = RawClient(listener)
-        client.send(http_request(request_id="1") + http_request(request_id="2"))
+        client.send(build_request(request_id="1") + build_request(request_id="2"))
         await wait_until(lambda: held.writers)
         [connection] = listener.registry.connections
         connection.pause_writing()  # Its transport calls this if the client reads no responses.
@@ -207,11 +209,11 @@
         client.socket.shutdown(socket.SHUT_WR)
         held.release()
         await wait_until(
-            lambda: not proxy.requests.by_number or len(server.received) > 1,
+            lambda: not proxy.requests.by_number or len(server.received_requests) > 1,
             "the first request has its response",
         )
-        await wait_until(lambda: not proxy.requests.list_unanswered() or len(server.received) > 1)
-        assert len(server.received) == 1
+        await wait_until(lambda: not proxy.requests.list_unanswered() or len(server.received_requests) > 1)
+        assert len(server.received_requests) == 1
         # Another request has the same id by now, and then the connection of the second one is closed.
         proxy.requests.client_request_ids.add(second.client_request_id)
         proxy.forwarder.client_disconnected(second)
@@ -252,22 +254,22 @@
     """Check that a request on a new connection is served without waiting for the end of idle connections."""
     working_client = await harness.connect()
     started = time.monotonic()
-    working_client.send(http_request(request_id="working"))
+    working_client.send(build_request(request_id="working"))
     harness.process.send_signal(signal.SIGCONT)
-    assert (await working_client.response()).status == 200
+    assert (await working_client.read_response()).status == 200
     assert time.monotonic() - started < READ_TIMEOUT_SECONDS
 
 
 async def check_discovery_is_read(harness: LimiterHarness) -> None:
     """Check that the limiter reads a new list within a second once discovery responds again."""
-    harness.discovery.publish(harness.servers[1].list_entry("leaving"))
+    harness.discovery.publish(harness.servers[1].make_list_entry("leaving"))
     harness.discovery.is_responding = True
     started = time.monotonic()
-    await wait_for_list_read(harness)
+    await wait_until_latest_list_applied(harness)
     assert time.monotonic() - started < 1.0
 
 
-@pytest.mark.parametrize("data", [b"", http_request(request_id="half")[:60], HEALTH_CHECK])
+@pytest.mark.parametrize("data", [b"", build_request(request_id="half")[:60], HEALTH_CHECK])
 @limiter_with(servers=2, sockets=128, discovery_responds=False)
 async def test_idle_clients_displace_neither_working_clients_nor_discovery(
     harness: LimiterHarness, data: bytes
@@ -277,14 +279,14 @@
     for number in range(10):
         idle_clients += await connect_idle_clients(harness, data)
         # The limiter goes on with the list that it knows.
-        assert (await harness.send_request(http_request(request_id=f"{number}"))).status == 200
+        assert (await harness.send_request(build_request(request_id=f"{number}"))).status == 200
     await check_working_client_is_served(harness)
     await check_discovery_is_read(harness)
     for client in idle_clients:
         client.close()
 
 
-@pytest.mark.parametrize("data", [b"", http_request(request_id="half")[:60], HEALTH_CHECK])
+@pytest.mark.parametrize("data", [b"", build_request(request_id="half")[:60], HEALTH_CHECK])
 @limiter_with(servers=2, sockets=128)
 async def test_idle_clients_that_connect_during_a_pause_displace_neither_working_clients_nor_discovery(
     harness: LimiterHarness, data: bytes
--- a/tests/transport/test_pipelining.py
+++ b/tests/transport/test_pipelining.py
@@ -5,10 +5,10 @@
 import asyncio
 from dataclasses import dataclass
 
-from tests.support.client import http_request
-from tests.support.fake_server import ReceivedRequest, request_ids, respond_after, respond_with
+from tests.support.client import build_request
+from tests.support.fake_server import ReceivedRequest, list_request_ids, respond_after, respond_with
 from tests.support.harness import LimiterHarness, limiter_with
-from tests.support.limiter_settings import settings
+from tests.support.limiter_settings import make_raw_settings
 from tests.support.waiting import wait_until
 
 
@@ -19,14 +19,16 @@
     released = asyncio.Event()
     harness.servers[0].responder = respond_after(released, respond_with(200))
     client = await harness.connect()
-    client.send(http_request("order", request_id="1") + http_request("order", request_id="2"))
-    await wait_until(lambda: harness.received)
-    descriptors_before = harness.descriptors()
+    client.send(build_request("order", request_id="1") + build_request("order", request_id="2"))
+    await wait_until(lambda: harness.received_requests)
+    descriptors_before = harness.count_open_descriptors()
     client.close()
-    await wait_until(lambda: harness.descriptors() < descriptors_before, "the limiter has closed it too")
+    await wait_until(
+        lambda: harness.count_open_descriptors() < descriptors_before, "the limiter has closed it too"
+    )
     released.set()
-    assert (await harness.send_request(http_request("order", request_id="3"))).status == 200
-    assert request_ids(harness.received) == ["1", "3"]
+    assert (await harness.send_request(build_request("order", request_id="3"))).status == 200
+    assert list_request_ids(harness.received_requests) == ["1", "3"]
 
 
 @dataclass(frozen=True)
@@ -54,7 +56,7 @@
 
     def encode(self) -> bytes:
         """Return the request as a client sends it."""
-        return http_request(
+        return build_request(
             self.request_class,
             request_id=self.request_id,
             customer=self.customer,
@@ -68,7 +70,7 @@
 
     def check_forwarded(self, received: ReceivedRequest) -> None:
         """Check that a server received this request with its own path, headers and deadline."""
-        assert received.line.split()[1] == f"/{self.request_class}/{self.customer}"
+        assert received.request_line.split()[1] == f"/{self.request_class}/{self.customer}"
         assert (received.headers["x-tariff"], received.headers["x-weight"]) == (self.plan, self.weight)
         assert int(received.headers["x-deadline-ms"]) <= self.deadline_ms
 
@@ -83,7 +85,7 @@
 TWO_PLANS = [{**UNLIMITED_PLAN, "name": "free"}, {**UNLIMITED_PLAN, "name": "one", "open": 1}]
 
 
-@limiter_with(settings=settings(contracts=TWO_PLANS, peersTotal=3))
+@limiter_with(settings=make_raw_settings(contracts=TWO_PLANS, peersTotal=3))
 async def test_requests_of_unlike_customers_and_classes_share_a_connection(harness: LimiterHarness) -> None:
     """Each keeps its own headers, deadline and outcome."""
     harness.servers[0].responder = respond_by_class
@@ -91,10 +93,10 @@
     for number in range(12):
         request = MixedRequest.numbered(number)
         client.send(request.encode())
-        response = await client.response()
+        response = await client.read_response()
         assert (response.status, response.body) == request.expected_response()
-        for received in harness.received:
+        for received in harness.received_requests:
             if received.headers["x-request-id"] == request.request_id:
                 request.check_forwarded(received)
-    orders = [received for received in harness.received if received.headers["x-class"] == "order"]
-    assert request_ids(orders) == ["r1", "r4", "r7", "r10"]  # Each order was forwarded once: no retries.
+    orders = [received for received in harness.received_requests if received.headers["x-class"] == "order"]
+    assert list_request_ids(orders) == ["r1", "r4", "r7", "r10"]  # Each order was forwarded once: no retries.
--- a/tests/transport/test_requests.py
+++ b/tests/transport/test_requests.py
@@ -12,7 +12,7 @@
 
 from limiter.transport.servers.server_connection import RESPONSE_STALL_TIMEOUT_SECONDS
 from limiter.transport.servers.server_pool import MIN_IDLE_BEFORE_REUSE_SECONDS
-from tests.support.client import HEALTH_CHECK, Response, http_request
+from tests.support.client import HEALTH_CHECK, Response, build_request
 from tests.support.fake_server import (
     FakeServer,
     ReceivedRequest,
@@ -23,8 +23,8 @@
     respond_with,
 )
 from tests.support.harness import LimiterHarness, limiter_with
-from tests.support.limiter_settings import settings, settings_with_quota
-from tests.support.waiting import PATIENCE_SECONDS, wait_until
+from tests.support.limiter_settings import make_raw_settings, make_raw_settings_with_quota
+from tests.support.waiting import WAIT_TIMEOUT_SECONDS, wait_until
 
 
 async def send_while(harness: LimiterHarness, request: bytes, *, status: int) -> Response:
@@ -39,25 +39,25 @@
 async def check_served_by(server: FakeServer, harness: LimiterHarness, *, request_count: int) -> None:
     """Send requests that must not fail, and check that the server alone got those that were served."""
     responses = [
-        await harness.send_request(http_request("submit", request_id=str(index)))
+        await harness.send_request(build_request("submit", request_id=str(index)))
         for index in range(request_count)
     ]
     statuses = [response.status for response in responses]
     # An attempt without a connection is known not to have run, so that a rejection is allowed but no failure.
     assert set(statuses) <= {200, 503}
-    assert len(server.received) == statuses.count(200) > 4
+    assert len(server.received_requests) == statuses.count(200) > 4
 
 
 async def test_request_and_response_are_forwarded_unchanged(harness: LimiterHarness) -> None:
     harness.servers[0].responder = respond_with(200, b"\x00answer", "Content-Type: text/x")
     response = await harness.send_request(
-        http_request("submit", body=b"a\r\n\r\nbody", query="?a=1&b=%20", headers={"Accept": "text/x"})
+        build_request("submit", body=b"a\r\n\r\nbody", query="?a=1&b=%20", headers={"Accept": "text/x"})
     )
     assert response.status == 200
     assert response.body == b"\x00answer"
     assert response.headers["content-type"] == "text/x"
-    [received] = harness.received
-    assert received.line == "POST /submit/00000000b4d65521?a=1&b=%20 HTTP/1.1"
+    [received] = harness.received_requests
+    assert received.request_line == "POST /submit/00000000b4d65521?a=1&b=%20 HTTP/1.1"
     assert received.body == b"a\r\n\r\nbody"
     assert received.headers["x-request-id"] == "9b1f03aa5c7e2d41"
     assert received.headers["idempotency-key"] == "5c0f6e1a"
@@ -70,35 +70,37 @@
 ) -> None:
     client = await harness.connect()
     for index in range(3):
-        head = http_request(
+        head = build_request(
             "submit", without_header="Content-Length", headers={"Transfer-Encoding": "chunked"}
         )
         client.send(head + b"3\r\nabc\r\n")
         await asyncio.sleep(0.05)
-        assert len(harness.received) == index  # The request is not forwarded before its body is complete.
+        assert (
+            len(harness.received_requests) == index
+        )  # The request is not forwarded before its body is complete.
         client.send(b"4\r\ndefg\r\n0\r\n\r\n")
-        assert (await client.response()).status == 200
-    assert [received.body for received in harness.received] == [b"abcdefg"] * 3
-    assert {received.connection_number for received in harness.received} == {1}
+        assert (await client.read_response()).status == 200
+    assert [received.body for received in harness.received_requests] == [b"abcdefg"] * 3
+    assert {received.connection_number for received in harness.received_requests} == {1}
 
 
 async def test_pipelined_requests_get_their_responses_in_order(harness: LimiterHarness) -> None:
     client = await harness.connect()
-    client.send(http_request(request_id="1") + HEALTH_CHECK + http_request(request_id="2"))
-    assert [(await client.response()).body for _ in range(3)] == [b"from s-0", b"ready\n", b"from s-0"]
+    client.send(build_request(request_id="1") + HEALTH_CHECK + build_request(request_id="2"))
+    assert [(await client.read_response()).body for _ in range(3)] == [b"from s-0", b"ready\n", b"from s-0"]
 
 
 async def test_request_that_no_server_responds_to_ends_at_its_deadline(harness: LimiterHarness) -> None:
     harness.servers[0].responder = never_respond
     client = await harness.connect()
     began = time.monotonic()
-    client.send(http_request(deadline_ms=300))
-    assert (await client.response()).status in (429, 503, 504)
+    client.send(build_request(deadline_ms=300))
+    assert (await client.read_response()).status in (429, 503, 504)
     assert time.monotonic() - began > 0.25  # It is not given up before its deadline of 300 ms.
     harness.servers[0].responder = respond_with(200, b"next")
-    client.send(http_request(request_id="2"))
+    client.send(build_request(request_id="2"))
     # This is the response to the second request, not a late one to the first.
-    assert (await client.response()).body == b"next"
+    assert (await client.read_response()).body == b"next"
 
 
 @pytest.mark.parametrize(
@@ -115,19 +117,19 @@
     harness: LimiterHarness, responder: Responder
 ) -> None:
     harness.servers[0].responder = responder
-    assert (await harness.send_request(http_request("submit", deadline_ms=400))).status in (502, 504)
+    assert (await harness.send_request(build_request("submit", deadline_ms=400))).status in (502, 504)
 
 
 @pytest.mark.parametrize("status", [503, 504])
 async def test_keyed_request_proved_not_to_have_run_is_rejected(harness: LimiterHarness, status: int) -> None:
     harness.servers[0].responder = respond_with(status, b"", "X-Not-Run: 1")
-    assert (await harness.send_request(http_request("submit", deadline_ms=400))).status in (429, 503)
+    assert (await harness.send_request(build_request("submit", deadline_ms=400))).status in (429, 503)
 
 
-@limiter_with(settings=settings_with_quota(rate=0.1, burst=4.0))
+@limiter_with(settings=make_raw_settings_with_quota(rate=0.1, burst=4.0))
 async def test_customer_over_its_quota_is_rejected_with_retry_after(harness: LimiterHarness) -> None:
     # The admission probability falls with each reading of the counter.
-    response = await send_while(harness, http_request(deadline_ms=60000), status=200)
+    response = await send_while(harness, build_request(deadline_ms=60000), status=200)
     assert response.status == 429
     assert 0 < float(response.headers["retry-after"]) <= 20
 
@@ -135,7 +137,7 @@
 @limiter_with(servers=2)
 async def test_refused_connection_leads_to_another_server(harness: LimiterHarness) -> None:
     closed, serving = harness.servers
-    closed.server.close()
+    closed.listening_server.close()
     await check_served_by(serving, harness, request_count=14)
 
 
@@ -182,10 +184,12 @@
 ) -> None:
     harness.servers[0].responder = responder
     # The limiter notices invalid bytes, or that the rest does not come, long before the deadline.
-    assert (await harness.send_request(http_request("submit", deadline_ms=60_000))).status in (502, 504)
+    assert (await harness.send_request(build_request("submit", deadline_ms=60_000))).status in (502, 504)
     harness.servers[0].responder = respond_with(200, b"fine")
-    assert (await harness.send_request(http_request("submit", request_id="2"))).body == b"fine"
-    assert len({received.connection_number for received in harness.received}) == len(harness.received)
+    assert (await harness.send_request(build_request("submit", request_id="2"))).body == b"fine"
+    assert len({received.connection_number for received in harness.received_requests}) == len(
+        harness.received_requests
+    )
 
 
 RESPONSE_ONE = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
@@ -197,9 +201,9 @@
     harness: LimiterHarness, tail: bytes
 ) -> None:
     harness.servers[0].responder = respond_raw(RESPONSE_ONE + tail)
-    assert (await harness.send_request(http_request())).body == b"one"
+    assert (await harness.send_request(build_request())).body == b"one"
     harness.servers[0].responder = respond_with(200, b"two")
-    assert (await harness.send_request(http_request())).body == b"two"
+    assert (await harness.send_request(build_request())).body == b"two"
 
 
 class TwofoldResponse:
@@ -228,11 +232,11 @@
     round_number = len(twofold.delays_seconds)
     harness.servers[0].responder = twofold
     client = await harness.connect()
-    client.send(http_request(request_id=f"{round_number}a"))
-    assert (await client.response()).body == b"one"
+    client.send(build_request(request_id=f"{round_number}a"))
+    assert (await client.read_response()).body == b"one"
     harness.servers[0].responder = respond_with(200, b"two")
-    client.send(http_request(request_id=f"{round_number}b"))
-    response = await client.response()
+    client.send(build_request(request_id=f"{round_number}b"))
+    response = await client.read_response()
     await wait_until(lambda: len(twofold.delays_seconds) > round_number, "the second response is written")
     return response.body
 
@@ -252,7 +256,7 @@
     harness.servers[0].responder = respond_raw(
         b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes"
     )
-    assert (await harness.send_request(http_request())).body == b"yes"
+    assert (await harness.send_request(build_request())).body == b"yes"
 
 
 async def test_response_may_be_slow_after_an_interim_one_and_come_in_parts(harness: LimiterHarness) -> None:
@@ -266,36 +270,36 @@
             writer.write(part)
 
     harness.servers[0].responder = respond_slowly
-    assert (await harness.send_request(http_request("submit", deadline_ms=60_000))).body == b"inpart"
-    assert len(harness.received) == 1
+    assert (await harness.send_request(build_request("submit", deadline_ms=60_000))).body == b"inpart"
+    assert len(harness.received_requests) == 1
 
 
 KEEPALIVE_SECONDS = 1.0
 SHORT_KEEPALIVE = {"maxAttempts": 4, "dialTimeout": 250.0, "keepalive": KEEPALIVE_SECONDS * 1000}
 
 
-@limiter_with(settings=settings(limits=SHORT_KEEPALIVE))
+@limiter_with(settings=make_raw_settings(limits=SHORT_KEEPALIVE))
 async def test_idle_connections_are_closed_before_their_servers_reset_them(harness: LimiterHarness) -> None:
-    assert (await harness.send_request(http_request("submit"))).status == 200
+    assert (await harness.send_request(build_request("submit"))).status == 200
     # Within the keepalive, but after half of it, from which on the limiter does not reuse the connection.
     await asyncio.sleep(0.8 * KEEPALIVE_SECONDS)
-    assert (await harness.send_request(http_request("submit", request_id="2"))).status == 200
-    assert [received.connection_number for received in harness.received] == [1, 2]
+    assert (await harness.send_request(build_request("submit", request_id="2"))).status == 200
+    assert [received.connection_number for received in harness.received_requests] == [1, 2]
 
 
 async def test_disconnected_clients_leave_no_sockets_behind(harness: LimiterHarness) -> None:
     harness.servers[0].responder = never_respond
-    descriptors_before = harness.descriptors()
+    descriptors_before = harness.count_open_descriptors()
     for index in range(20):
         client = await harness.connect()
-        client.send(http_request(request_id=str(index), deadline_ms=500))
+        client.send(build_request(request_id=str(index), deadline_ms=500))
         await asyncio.sleep(0.03)
         client.close()
-    assert harness.received
-    await wait_until(lambda: harness.descriptors() <= descriptors_before + 1, "all sockets closed")
+    assert harness.received_requests
+    await wait_until(lambda: harness.count_open_descriptors() <= descriptors_before + 1, "all sockets closed")
     harness.servers[0].responder = respond_with(200, b"fine")
     # For a while the limiter takes a server that has not responded for one without capacity, and rejects.
-    response = await send_while(harness, http_request(request_id="last"), status=429)
+    response = await send_while(harness, build_request(request_id="last"), status=429)
     assert response.body == b"fine"
 
 
@@ -313,9 +317,9 @@
 @limiter_with(servers=2)
 async def test_server_that_never_accepts_is_given_up_in_time(harness: LimiterHarness) -> None:
     blocked, serving = harness.servers
-    blocked.server.close()
+    blocked.listening_server.close()
     await asyncio.sleep(0)  # In this turn of the event loop asyncio closes the socket.
     with full_backlog(blocked.port):
         began = time.monotonic()
         await check_served_by(serving, harness, request_count=8)
-        assert time.monotonic() - began < PATIENCE_SECONDS
+        assert time.monotonic() - began < WAIT_TIMEOUT_SECONDS
--- a/tests/transport/test_restart_together.py
+++ b/tests/transport/test_restart_together.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from tests.support.client import HEALTH_CHECK, http_request
+from tests.support.client import HEALTH_CHECK, build_request
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer, SlowAcceptServer
-from tests.support.harness import DEFAULT_SOCKETS, LimiterHarness
-from tests.support.limiter_settings import known_list, settings_with_quota
+from tests.support.harness import DEFAULT_DESCRIPTOR_LIMIT, LimiterHarness
+from tests.support.limiter_settings import make_configured_endpoint_list, make_raw_settings_with_quota
 
 LIMITER_COUNT = 5
 READY_SECONDS = 10.0  # A limiter must be ready so soon after its start, or after discovery's first response.
@@ -66,11 +66,11 @@
         elif self.state is DiscoveryState.FULL_BACKLOG:
             self.discovery.port = self.full.port
             self.counter.port = self.full.port
-        self.discovery.entries = [self.server.list_entry()]
+        self.discovery.entries = [self.server.make_list_entry()]
 
     def known_list(self) -> dict[str, Any]:
         """Return the list with the server, for a limiter's configuration."""
-        return known_list(*self.discovery.entries)
+        return make_configured_endpoint_list(*self.discovery.entries)
 
     def recover(self) -> None:
         """Let discovery respond with its list from now on."""
@@ -85,9 +85,9 @@
     """Run limiters that start at once, every other one with a pushed list; all of them listen already."""
     limiters = [LimiterHarness(folder / f"{index}", 0) for index in range(LIMITER_COUNT)]
     for index, limiter in enumerate(limiters):
-        limiter.folder.mkdir()
+        limiter.config_folder.mkdir()
         limiter.discovery = peers.discovery
-        with_quota = settings_with_quota(rate=1.0, burst=5.0)
+        with_quota = make_raw_settings_with_quota(rate=1.0, burst=5.0)
         with_quota["discovery"] = "pushed" if index % 2 else "on_request"
         limiter.config = {
             "listen": "127.0.0.1:0",
@@ -96,7 +96,7 @@
             "known": known_list,
             "counter": peers.counter.address,
         }
-    await asyncio.gather(*(limiter.launch(DEFAULT_SOCKETS) for limiter in limiters))
+    await asyncio.gather(*(limiter.launch(DEFAULT_DESCRIPTOR_LIMIT) for limiter in limiters))
     try:
         yield limiters
     finally:
@@ -106,10 +106,13 @@
 
 async def check_ready_in_time(limiters: list[LimiterHarness], started: float) -> None:
     """Check that all limiters are healthy soon after that time, and that each then serves a request."""
-    await asyncio.gather(*(limiter.wait_ready() for limiter in limiters))
+    await asyncio.gather(*(limiter.wait_until_healthy() for limiter in limiters))
     assert time.monotonic() - started < READY_SECONDS
     responses = await asyncio.gather(
-        *(limiter.send_request(http_request(request_id=f"{index}")) for index, limiter in enumerate(limiters))
+        *(
+            limiter.send_request(build_request(request_id=f"{index}"))
+            for index, limiter in enumerate(limiters)
+        )
     )
     assert {(response.status, response.body) for response in responses} == {(200, b"from s-0")}
 
--- a/tests/transport/test_sample_configuration.py
+++ b/tests/transport/test_sample_configuration.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from limiter.configuration.config_loader import load_config
-from tests.support.waiting import PATIENCE_SECONDS
+from tests.support.waiting import WAIT_TIMEOUT_SECONDS
 
 ROOT = Path(__file__).parents[2]
 SAMPLE = "deploy/sample/config.json"  # as the README names it, from the root
@@ -31,7 +31,7 @@
     environment = {**os.environ, "RELAY_CONFIG": SAMPLE, **overrides}
     command = [sys.executable, "-m", "limiter"]
     with subprocess.Popen(command, cwd=ROOT, env=environment, stderr=subprocess.PIPE, text=True) as process:
-        kill_timer = threading.Timer(PATIENCE_SECONDS, process.kill)
+        kill_timer = threading.Timer(WAIT_TIMEOUT_SECONDS, process.kill)
         kill_timer.start()
         try:
             yield process
@@ -71,10 +71,10 @@
     # Other programs may use the ports of the sample. Port 0 lets the kernel choose a free one, and nothing
     # listens on port 1.
     with running_sample(RELAY_LISTEN="127.0.0.1:0", RELAY_DISCOVERY="127.0.0.1:1") as process:
-        connection = http.client.HTTPConnection("127.0.0.1", read_port(process), timeout=PATIENCE_SECONDS)
+        connection = http.client.HTTPConnection("127.0.0.1", read_port(process), timeout=WAIT_TIMEOUT_SECONDS)
         connection.request("GET", "/_health")
         response = connection.getresponse()
         assert (response.status, response.read()) == (503, b"not ready\n")
         connection.close()
         process.send_signal(signal.SIGTERM)
-        assert process.wait(PATIENCE_SECONDS) == 0
+        assert process.wait(WAIT_TIMEOUT_SECONDS) == 0
--- a/tests/transport/test_server_connection_races.py
+++ b/tests/transport/test_server_connection_races.py
@@ -12,7 +12,7 @@
 from limiter.transport.servers.attempt import Attempt
 from limiter.transport.servers.server_pool import ServerPool
 from limiter.transport.sockets import has_unread_input
-from tests.support.client import http_request
+from tests.support.client import build_request
 from tests.support.fake_server import FakeServer, ReceivedRequest, Responder, never_respond, respond_with
 from tests.support.in_process_limiter import RawClient, in_process_limiter
 from tests.support.waiting import wait_until
@@ -66,8 +66,8 @@
     server.responder = responder = RecordingResponder(respond_with_connection_number)
     async with in_process_limiter(server) as (proxy, listener):
         client = RawClient(listener)
-        client.send(http_request("order", request_id="1"))
-        response = await client.response()
+        client.send(build_request("order", request_id="1"))
+        response = await client.read_response()
         assert (response.status, response.body) == (200, b"1")
         [connection] = proxy.server_pool.connections.idle
         if second_response:
@@ -76,7 +76,7 @@
             responder.writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
         assert connection.transport is not None
         assert has_unread_input(connection.transport)
-        result = await result_of_attempt(proxy.server_pool, http_request("order", request_id="2"))
+        result = await result_of_attempt(proxy.server_pool, build_request("order", request_id="2"))
         assert result == (Outcome.OK, b"2")
 
 
@@ -86,7 +86,7 @@
     server.responder = responder = RecordingResponder(never_respond)
     async with in_process_limiter(server) as (proxy, listener):
         client = RawClient(listener)
-        client.send(http_request())
+        client.send(build_request())
         await wait_until(lambda: responder.writers)
         [request] = proxy.requests.list_unanswered()
         assert not has_unread_input(responder.writers[0].transport)
--- a/tests/transport/test_server_pool.py
+++ b/tests/transport/test_server_pool.py
@@ -13,7 +13,7 @@
 from limiter.transport.servers.attempt import Attempt
 from limiter.transport.servers.reuse_history import ReuseHistory
 from limiter.transport.servers.server_pool import MIN_IDLE_BEFORE_REUSE_SECONDS, ServerPool
-from tests.support.client import http_request
+from tests.support.client import build_request
 from tests.support.fake_server import FakeServer, reset_connection, respond_with
 from tests.support.waiting import wait_until
 
@@ -37,7 +37,7 @@
 
     def send(self) -> None:
         """Send the next attempt."""
-        request = http_request(request_id=str(self.sent))
+        request = build_request(request_id=str(self.sent))
         attempt = Attempt(self.sent, self.server.key.encode(), request, self._on_ended)
         self.sent += 1
         self.pool.send(attempt, ATTEMPT_TIMEOUT_SECONDS)
@@ -61,7 +61,7 @@
         yield PoolDriver(pool, server)
     finally:
         pool.close()
-        server.server.close()
+        server.listening_server.close()
 
 
 @pytest.mark.parametrize(
--- a/tests/transport/test_startup.py
+++ b/tests/transport/test_startup.py
@@ -12,11 +12,11 @@
 from limiter.configuration.config import Config
 from limiter.configuration.config_parser import parse_config
 from limiter.process import startup
-from tests.support.client import Connection, Response, http_request
+from tests.support.client import Connection, Response, build_request
 from tests.support.fake_discovery import FakeDiscovery
 from tests.support.fake_server import FakeServer
-from tests.support.limiter_settings import configuration, known_list
-from tests.support.waiting import PATIENCE_SECONDS, wait_until
+from tests.support.limiter_settings import make_configured_endpoint_list, make_raw_config
+from tests.support.waiting import WAIT_TIMEOUT_SECONDS, wait_until
 
 
 def free_port() -> int:
@@ -36,33 +36,33 @@
             await asyncio.sleep(0.01)
     client.send(data)
     try:
-        return await client.response()
+        return await client.read_response()
     finally:
         client.close()
 
 
 def configuration_between(listen_port: int, discovery: FakeDiscovery, known: list[FakeServer]) -> Config:
     """Return the configuration of a limiter with this port, discovery and list of known servers."""
-    entries = [server.list_entry() for server in known]
-    document = configuration(
+    entries = [server.make_list_entry() for server in known]
+    document = make_raw_config(
         listen=f"127.0.0.1:{listen_port}",
         discovery=discovery.address,
         seed="1",
-        known=known_list(*entries),
+        known=make_configured_endpoint_list(*entries),
     )
     return parse_config(document)
 
 
 async def test_listening_waits_for_what_changed_since_the_known_list(monkeypatch: pytest.MonkeyPatch) -> None:
     """No request goes to a server that drained while the limiter did not run."""
-    monkeypatch.setattr(startup, "DISCOVERY_WAIT_SECONDS", 10 * PATIENCE_SECONDS)
+    monkeypatch.setattr(startup, "DISCOVERY_WAIT_SECONDS", 10 * WAIT_TIMEOUT_SECONDS)
     draining = FakeServer("s-0")
     ready = FakeServer("s-1")
     discovery = FakeDiscovery()
     for peer in (draining, ready, discovery):
         await peer.listen()
     discovery.is_responding = False  # It accepts the limiter's call and holds its response back.
-    discovery.publish(draining.list_entry("leaving"), ready.list_entry(), full_list=True)
+    discovery.publish(draining.make_list_entry("leaving"), ready.make_list_entry(), full_list=True)
     port = free_port()
     limiter = asyncio.create_task(
         startup.run_limiter(configuration_between(port, discovery, [draining, ready]))
@@ -73,8 +73,8 @@
     discovery.is_responding = True
     await wait_until(lambda: discovery.response_times, "discovery has responded")
     for number in range(6):
-        response = await send_once_listening(port, http_request("order", request_id=str(number)))
+        response = await send_once_listening(port, build_request("order", request_id=str(number)))
         assert response.body == b"from s-1"
-    assert draining.received == []
+    assert draining.received_requests == []
     os.kill(os.getpid(), signal.SIGTERM)
     await limiter
