--- a/tests/transport/test_dial_races.py
+++ b/tests/transport/test_dial_races.py
@@ -1,4 +1,4 @@
-"""A dial that succeeds after its server drained or changed, or after its client disconnected."""
+"""Tests of dials that succeed after the server started draining or changed, or the client disconnected."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 async def publish(harness: LimiterHarness, *entries: dict[str, Any], full_list: bool = False) -> None:
-    """Publish a list, or changes of it, and wait until the limiter has read them."""
+    """Publish a full endpoint list or changes to it, and wait until the limiter has applied them."""
     harness.discovery.publish(*entries, full_list=full_list)
     await wait_until_latest_list_applied(harness)
 
 
-async def client_of_dialled_server(harness: LimiterHarness) -> Connection:
-    """Return a client whose request waits for a connection to the slow server."""
+async def connect_client_waiting_for_dial(harness: LimiterHarness) -> Connection:
+    """Return a client whose request waits for a dial to the slow server."""
     await publish(harness, harness.slow_servers[0].make_list_entry(), full_list=True)
     client = await harness.connect()
     client.send(build_request("order", deadline_ms=60_000))
-    await wait_until(harness.slow_servers[0].count_pending_connections, "the dial is on its way")
+    await wait_until(harness.slow_servers[0].count_pending_connections, "start of the dial")
     return client
 
 
@@ -38,33 +38,36 @@
         {"state": "leaving"},
         {"state": "left"},
         {"startedAtMs": 5},
-        {"hostPort": "127.0.0.1:9"},  # Nobody listens at this address.
+        {"hostPort": "127.0.0.1:9"},  # No process listens on this address.
     ],
 )
 @limiter_with(settings=LONG_DIAL_TIMEOUT, slow_servers=1)
-async def test_a_dial_that_succeeds_after_its_server_drained_or_changed_sends_nothing(
+async def test_request_is_not_sent_if_its_server_drains_or_changes_during_the_dial(
     harness: LimiterHarness, change: Any
 ) -> None:
-    """The attempt was never sent, so the request goes to another server."""
-    client = await client_of_dialled_server(harness)
+    """The limiter learns of the change while the dial is in progress.
+
+    The attempt has not been sent, so the request is sent to another server.
+    """
+    client = await connect_client_waiting_for_dial(harness)
     await publish(
         harness, harness.slow_servers[0].make_list_entry(**change), harness.servers[1].make_list_entry()
     )
     await harness.slow_servers[0].accept_connections()
-    assert (
-        await client.read_response()
-    ).body == b"from s-0"  # The attempt was not sent, so a retry was safe.
+    assert (await client.read_response()).body == b"from s-0"  # A retry is safe, because nothing was sent.
     assert harness.slow_servers[0].received_requests == []
 
 
 @limiter_with(settings=LONG_DIAL_TIMEOUT, slow_servers=1)
-async def test_a_dial_that_succeeds_after_its_client_disconnected_sends_nothing(
+async def test_request_is_not_sent_if_its_client_disconnects_during_the_dial(
     harness: LimiterHarness,
 ) -> None:
-    """The dial is cancelled with its request."""
-    client = await client_of_dialled_server(harness)
+    """The dial is cancelled when the client disconnects."""
+    client = await connect_client_waiting_for_dial(harness)
     client.close()
-    await wait_until(lambda: not harness.slow_servers[0].count_pending_connections(), "the dial is cancelled")
+    await wait_until(
+        lambda: not harness.slow_servers[0].count_pending_connections(), "cancellation of the dial"
+    )
     await harness.slow_servers[0].accept_connections()
     assert (await harness.send_request(build_request("submit", request_id="2"))).status == 200
     assert list_request_ids(harness.slow_servers[0].received_requests) == ["2"]
--- a/tests/transport/test_server_connection_races.py
+++ b/tests/transport/test_server_connection_races.py
@@ -1,4 +1,4 @@
-"""Server connections that end as they are reused, or are abandoned as the next attempt is sent."""
+"""Tests of server connections that end just before their reuse, or whose attempt is abandoned."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class RecordingResponder:
-    """Passes requests on to another responder.
+    """Delegates requests to another responder.
 
     Attributes:
-        writers: for each request, the server's end of its connection.
+        writers: for each request, the stream from the server to the limiter.
     """
 
     def __init__(self, responder: Responder) -> None:
-        """Take the responder that writes the responses."""
+        """Use `responder` to write the responses."""
         self.responder = responder
         self.writers: list[asyncio.StreamWriter] = []
 
@@ -39,12 +39,12 @@
 
 
 async def respond_with_connection_number(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    """Respond with the number of the server's connection that the request came on."""
+    """Respond with the number of the connection on which the server received the request."""
     await respond_with(200, b"%d" % request.connection_number)(request, writer)
 
 
-async def result_of_attempt(pool: ServerPool, request: bytes) -> tuple[Outcome, bytes]:
-    """Send an attempt to the server s-0; return its outcome and the body of the response."""
+async def send_attempt(pool: ServerPool, request: bytes) -> tuple[Outcome, bytes]:
+    """Send an attempt to server s-0; return its outcome and the body of the response."""
     results: list[tuple[Outcome, bytes]] = []
 
     def on_ended(_attempt: Attempt, outcome: Outcome, body: bytes, _content_type: bytes) -> None:
@@ -56,11 +56,11 @@
     return result
 
 
-@pytest.mark.parametrize("second_response", [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray", b""])
-async def test_a_connection_with_an_unread_end_or_second_response_is_not_reused(
-    second_response: bytes, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("surplus_response", [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray", b""])
+async def test_connection_with_an_unread_end_of_stream_or_surplus_response_is_not_reused(
+    surplus_response: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What waits in the kernel decides, whether or not the event loop has read it."""
+    """The kernel has received the bytes or end of stream, but the event loop has not read them yet."""
     monkeypatch.setattr(server_pool, "MIN_IDLE_BEFORE_REUSE_SECONDS", 0.0)
     server = FakeServer("s-0")
     server.responder = responder = RecordingResponder(respond_with_connection_number)
@@ -70,18 +70,21 @@
         response = await client.read_response()
         assert (response.status, response.body) == (200, b"1")
         [connection] = proxy.server_pool.connections.idle
-        if second_response:
-            responder.writers[0].write(second_response)  # It is in the limiter's kernel at once.
+        if surplus_response:
+            responder.writers[0].write(surplus_response)  # The kernel delivers it immediately.
         else:
             responder.writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
         assert connection.transport is not None
         assert has_unread_input(connection.transport)
-        result = await result_of_attempt(proxy.server_pool, build_request("order", request_id="2"))
+        result = await send_attempt(proxy.server_pool, build_request("order", request_id="2"))
         assert result == (Outcome.OK, b"2")
 
 
-async def test_an_abandoned_attempt_is_closed_before_anything_else_is_sent() -> None:
-    """Two attempts of a request that must not run twice may not overlap."""
+async def test_connection_of_an_abandoned_attempt_is_closed_immediately() -> None:
+    """If the connection closed later, the next attempt of a request could overlap with the abandoned one.
+
+    Attempts must not overlap if the request must not be executed twice.
+    """
     server = FakeServer("s-0")
     server.responder = responder = RecordingResponder(never_respond)
     async with in_process_limiter(server) as (proxy, listener):
@@ -91,6 +94,4 @@
         [request] = proxy.requests.list_unanswered()
         assert not has_unread_input(responder.writers[0].transport)
         request.attempts_in_flight[0].abandon()
-        assert has_unread_input(
-            responder.writers[0].transport
-        )  # The end of the connection has arrived already.
+        assert has_unread_input(responder.writers[0].transport)  # The server has received the end of stream.
