--- a/tests/transport/test_client_response.py
+++ b/tests/transport/test_client_response.py
@@ -1,4 +1,4 @@
-"""The status line of responses to clients."""
+"""Tests of the status line of responses to clients."""
 
 from __future__ import annotations
 
@@ -22,6 +22,6 @@
     ],
 )
 def test_status_line_has_the_standard_reason_phrase(status: int, reason: bytes) -> None:
-    """The phrases are those of RFC 9110 (429: RFC 6585); clients and logs show them."""
+    """The phrases are those of RFC 9110 (of RFC 6585 for 429). Clients and logs display them."""
     status_line, _, _ = encode_response(status, b"", b"", 0.0, close=False).partition(b"\r\n")
     assert status_line == b"HTTP/1.1 %d %b" % (status, reason)
--- a/tests/transport/test_pipelining.py
+++ b/tests/transport/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Requests that follow each other on one client connection: of unlike customers, or of a client that left."""
+"""Tests of several requests on one client connection: pipelined by a client that disconnects, and mixed."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from tests.support.waiting import wait_until
 
 
-async def test_a_pipelined_request_is_not_forwarded_once_its_client_disconnected(
+async def test_pipelined_request_is_not_forwarded_after_its_client_disconnected(
     harness: LimiterHarness,
 ) -> None:
-    """It is dropped with its connection."""
+    """The second request still waits for the first response when the client closes the connection."""
     released = asyncio.Event()
     harness.servers[0].responder = respond_after(released, respond_with(200))
     client = await harness.connect()
@@ -24,7 +24,8 @@
     descriptors_before = harness.count_open_descriptors()
     client.close()
     await wait_until(
-        lambda: harness.count_open_descriptors() < descriptors_before, "the limiter has closed it too"
+        lambda: harness.count_open_descriptors() < descriptors_before,
+        "close of the connection by the limiter",
     )
     released.set()
     assert (await harness.send_request(build_request("order", request_id="3"))).status == 200
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True)
 class MixedRequest:
-    """One of the requests of unlike customers, classes, plans and deadlines that share a connection."""
+    """One of several requests on a connection, which differ in customer, class, plan and deadline."""
 
     request_id: str
     request_class: str
@@ -43,8 +44,8 @@
     deadline_ms: int
 
     @classmethod
-    def numbered(cls, number: int) -> MixedRequest:
-        """Make the request with this number; neighbouring numbers differ in every part."""
+    def with_number(cls, number: int) -> MixedRequest:
+        """Create the request with this number; requests with successive numbers differ in every field."""
         return cls(
             request_id=f"r{number}",
             request_class=("read", "order", "submit")[number % 3],
@@ -55,7 +56,7 @@
         )
 
     def encode(self) -> bytes:
-        """Return the request as a client sends it."""
+        """Return the bytes of the request."""
         return build_request(
             self.request_class,
             request_id=self.request_id,
@@ -65,33 +66,35 @@
         )
 
     def expected_response(self) -> tuple[int, bytes]:
-        """Return status and body for a client whose server responds with `respond_by_class`."""
+        """Return the status and body that the client receives if the server uses `respond_by_class`."""
         return (502, b"") if self.request_class == "order" else (200, self.request_id.encode())
 
     def check_forwarded(self, received: ReceivedRequest) -> None:
-        """Check that a server received this request with its own path, headers and deadline."""
+        """Check that the server received this request with the path, headers and deadline of its own."""
         assert received.request_line.split()[1] == f"/{self.request_class}/{self.customer}"
         assert (received.headers["x-tariff"], received.headers["x-weight"]) == (self.plan, self.weight)
         assert int(received.headers["x-deadline-ms"]) <= self.deadline_ms
 
 
 async def respond_by_class(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    """Respond with an error to an `order`, and with the request's id to the other classes."""
+    """Respond with an error to requests of class `order`, and with the request's id to all others."""
     status = 500 if request.headers["x-class"] == "order" else 200
     await respond_with(status, request.headers["x-request-id"].encode())(request, writer)
 
 
 UNLIMITED_PLAN = {"quotaRate": 0.0, "peakUnits": 0.0, "valueFactor": 1.0}
-TWO_PLANS = [{**UNLIMITED_PLAN, "name": "free"}, {**UNLIMITED_PLAN, "name": "one", "open": 1}]
+TWO_UNLIMITED_PLANS = [{**UNLIMITED_PLAN, "name": "free"}, {**UNLIMITED_PLAN, "name": "one", "open": 1}]
 
 
-@limiter_with(settings=make_raw_settings(contracts=TWO_PLANS, peersTotal=3))
-async def test_requests_of_unlike_customers_and_classes_share_a_connection(harness: LimiterHarness) -> None:
-    """Each keeps its own headers, deadline and outcome."""
+@limiter_with(settings=make_raw_settings(contracts=TWO_UNLIMITED_PLANS, peersTotal=3))
+async def test_requests_on_one_connection_keep_their_own_headers_deadlines_and_outcomes(
+    harness: LimiterHarness,
+) -> None:
+    """State that is left from one request must not affect the next one on the same connection."""
     harness.servers[0].responder = respond_by_class
     client = await harness.connect()
     for number in range(12):
-        request = MixedRequest.numbered(number)
+        request = MixedRequest.with_number(number)
         client.send(request.encode())
         response = await client.read_response()
         assert (response.status, response.body) == request.expected_response()
@@ -99,4 +102,9 @@
             if received.headers["x-request-id"] == request.request_id:
                 request.check_forwarded(received)
     orders = [received for received in harness.received_requests if received.headers["x-class"] == "order"]
-    assert list_request_ids(orders) == ["r1", "r4", "r7", "r10"]  # Each order was forwarded once: no retries.
+    assert list_request_ids(orders) == [
+        "r1",
+        "r4",
+        "r7",
+        "r10",
+    ]  # Each request was forwarded once, without a retry.
--- a/tests/transport/test_requests.py
+++ b/tests/transport/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests over loopback sockets: each is forwarded and gets one response in time, whatever servers do."""
+"""Tests that each request is forwarded and gets one response in time, even if servers misbehave."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 async def send_while(harness: LimiterHarness, request: bytes, *, status: int) -> Response:
-    """Send a request again and again while it gets that status; return the first other response."""
+    """Send a request repeatedly while the response has this status; return the first other response."""
     while True:
         response = await harness.send_request(request)
         if response.status != status:
@@ -37,13 +37,13 @@
 
 
 async def check_served_by(server: FakeServer, harness: LimiterHarness, *, request_count: int) -> None:
-    """Send requests that must not fail, and check that the server alone got those that were served."""
+    """Send requests, and check that none fails and that `server` received each one that was served."""
     responses = [
         await harness.send_request(build_request("submit", request_id=str(index)))
         for index in range(request_count)
     ]
     statuses = [response.status for response in responses]
-    # An attempt without a connection is known not to have run, so that a rejection is allowed but no failure.
+    # A server cannot have executed an attempt without a connection, so a rejection is allowed but no failure.
     assert set(statuses) <= {200, 503}
     assert len(server.received_requests) == statuses.count(200) > 4
 
@@ -75,9 +75,8 @@
         )
         client.send(head + b"3\r\nabc\r\n")
         await asyncio.sleep(0.05)
-        assert (
-            len(harness.received_requests) == index
-        )  # The request is not forwarded before its body is complete.
+        # An incomplete request must not be forwarded.
+        assert len(harness.received_requests) == index
         client.send(b"4\r\ndefg\r\n0\r\n\r\n")
         assert (await client.read_response()).status == 200
     assert [received.body for received in harness.received_requests] == [b"abcdefg"] * 3
@@ -90,16 +89,16 @@
     assert [(await client.read_response()).body for _ in range(3)] == [b"from s-0", b"ready\n", b"from s-0"]
 
 
-async def test_request_that_no_server_responds_to_ends_at_its_deadline(harness: LimiterHarness) -> None:
+async def test_request_without_a_server_response_ends_at_its_deadline(harness: LimiterHarness) -> None:
     harness.servers[0].responder = never_respond
     client = await harness.connect()
-    began = time.monotonic()
+    started_at = time.monotonic()
     client.send(build_request(deadline_ms=300))
     assert (await client.read_response()).status in (429, 503, 504)
-    assert time.monotonic() - began > 0.25  # It is not given up before its deadline of 300 ms.
+    assert time.monotonic() - started_at > 0.25  # It must not end before its deadline of 300 ms.
     harness.servers[0].responder = respond_with(200, b"next")
     client.send(build_request(request_id="2"))
-    # This is the response to the second request, not a late one to the first.
+    # It must be the response to the second request, not a late response to the first one.
     assert (await client.read_response()).body == b"next"
 
 
@@ -109,44 +108,47 @@
         never_respond,
         reset_connection,
         respond_raw(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut"),
-        respond_with(503),  # The header that proves that the request did not run is missing.
+        respond_with(503),  # Without the header that states that the request was not executed.
     ],
-    ids=["no response", "reset", "incomplete response", "error without proof"],
+    ids=["no response", "connection reset", "incomplete response", "503 without X-Not-Run"],
 )
-async def test_keyed_request_that_may_have_run_fails_and_is_never_rejected(
+async def test_request_with_an_idempotency_key_that_may_have_been_executed_fails_instead_of_being_rejected(
     harness: LimiterHarness, responder: Responder
 ) -> None:
+    """A rejection would state that no server has executed the request, which is unknown here."""
     harness.servers[0].responder = responder
     assert (await harness.send_request(build_request("submit", deadline_ms=400))).status in (502, 504)
 
 
 @pytest.mark.parametrize("status", [503, 504])
-async def test_keyed_request_proved_not_to_have_run_is_rejected(harness: LimiterHarness, status: int) -> None:
+async def test_request_with_an_idempotency_key_that_was_not_executed_is_rejected(
+    harness: LimiterHarness, status: int
+) -> None:
     harness.servers[0].responder = respond_with(status, b"", "X-Not-Run: 1")
     assert (await harness.send_request(build_request("submit", deadline_ms=400))).status in (429, 503)
 
 
 @limiter_with(settings=make_raw_settings_with_quota(rate=0.1, burst=4.0))
 async def test_customer_over_its_quota_is_rejected_with_retry_after(harness: LimiterHarness) -> None:
-    # The admission probability falls with each reading of the counter.
+    # The admission probability decreases with each reply of the counter.
     response = await send_while(harness, build_request(deadline_ms=60000), status=200)
     assert response.status == 429
     assert 0 < float(response.headers["retry-after"]) <= 20
 
 
 @limiter_with(servers=2)
-async def test_refused_connection_leads_to_another_server(harness: LimiterHarness) -> None:
+async def test_request_is_sent_to_another_server_after_a_refused_connection(harness: LimiterHarness) -> None:
     closed, serving = harness.servers
     closed.listening_server.close()
     await check_served_by(serving, harness, request_count=14)
 
 
 def respond_endlessly(head: bytes, piece: bytes) -> Responder:
-    """Return a responder that writes the piece after the head for as long as the limiter reads."""
+    """Return a responder that writes `head`, then `piece` repeatedly until the connection is closed."""
 
     async def respond(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(head)
-        while True:  # `drain` fails once the limiter has closed the connection.
+        while True:  # `drain` raises an error once the limiter has closed the connection.
             writer.write(piece)
             await writer.drain()
 
@@ -155,26 +157,32 @@
 
 INVALID_RESPONSES = {
     "not HTTP": respond_raw(b"what?\r\n\r\n"),
-    "body over its limit": respond_with(200, b"x" * 65537),
-    "cut head": respond_raw(b"HTTP/1.1 200 OK\r\nContent-Le"),
-    "head without end": respond_raw(b"HTTP/1.1 200 OK\r\n" + b"X-A: b\r\n" * 10_000),
-    "interim responses without end": respond_raw(b"HTTP/1.1 103 Early Hints\r\n\r\n" * 5_000),
-    "trailers without end": respond_endlessly(
+    "body exceeding the size limit": respond_with(200, b"x" * 65537),
+    "truncated head": respond_raw(b"HTTP/1.1 200 OK\r\nContent-Le"),
+    "head exceeding the size limit": respond_raw(b"HTTP/1.1 200 OK\r\n" + b"X-A: b\r\n" * 10_000),
+    "too many interim responses": respond_raw(b"HTTP/1.1 103 Early Hints\r\n\r\n" * 5_000),
+    "endless trailers": respond_endlessly(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n", b"X-A: b\r\n" * 100
     ),
-    "chunks without end": respond_endlessly(
+    "endless chunk extensions": respond_endlessly(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n3;", b"x=y;" * 100
     ),
-    "length that does not fit": respond_raw(b"HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nonly this"),
-    "three gigabytes": respond_raw(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nfirst of it"),
-    "two lengths": respond_raw(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nabc"),
-    "length of words": respond_raw(b"HTTP/1.1 200 OK\r\nContent-Length: 0x3\r\n\r\nabc"),
-    "length and chunks": respond_raw(
+    "body shorter than Content-Length": respond_raw(
+        b"HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nonly this"
+    ),
+    "Content-Length of 3 GiB": respond_raw(
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nfirst of it"
+    ),
+    "two different Content-Length headers": respond_raw(
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nabc"
+    ),
+    "hexadecimal Content-Length": respond_raw(b"HTTP/1.1 200 OK\r\nContent-Length: 0x3\r\n\r\nabc"),
+    "Content-Length and chunked Transfer-Encoding": respond_raw(
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
     ),
-    "other version": respond_raw(b"HTTP/2.0 200 OK\r\nContent-Length: 3\r\n\r\nabc"),
-    "other protocol": respond_raw(b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n"),
-    "chunk of nonsense": respond_raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"),
+    "unsupported HTTP version": respond_raw(b"HTTP/2.0 200 OK\r\nContent-Length: 3\r\n\r\nabc"),
+    "switch to another protocol": respond_raw(b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n"),
+    "invalid chunk size": respond_raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"),
 }
 
 
@@ -183,7 +191,7 @@
     harness: LimiterHarness, responder: Responder
 ) -> None:
     harness.servers[0].responder = responder
-    # The limiter notices invalid bytes, or that the rest does not come, long before the deadline.
+    # The limiter detects invalid bytes, or that the remaining bytes do not arrive, long before the deadline.
     assert (await harness.send_request(build_request("submit", deadline_ms=60_000))).status in (502, 504)
     harness.servers[0].responder = respond_with(200, b"fine")
     assert (await harness.send_request(build_request("submit", request_id="2"))).body == b"fine"
@@ -192,77 +200,85 @@
     )
 
 
-RESPONSE_ONE = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
+FIRST_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
 SECOND_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 
 
 @pytest.mark.parametrize("tail", [SECOND_RESPONSE, SECOND_RESPONSE[:20], b"rubbish"])
-async def test_bytes_behind_a_response_are_not_the_next_response(
+async def test_bytes_after_a_response_are_not_treated_as_the_next_response(
     harness: LimiterHarness, tail: bytes
 ) -> None:
-    harness.servers[0].responder = respond_raw(RESPONSE_ONE + tail)
+    """The connection must not be reused, or the surplus bytes are matched to the next request."""
+    harness.servers[0].responder = respond_raw(FIRST_RESPONSE + tail)
     assert (await harness.send_request(build_request())).body == b"one"
     harness.servers[0].responder = respond_with(200, b"two")
     assert (await harness.send_request(build_request())).body == b"two"
 
 
-class TwofoldResponse:
-    """A responder that responds twice to a request.
+class DuplicateResponder:
+    """A responder that sends two responses to each request.
 
     Attributes:
-        delays_seconds: for each request, the time from its first response to its second one.
+        delays_seconds: for each request, the time between its first and its second response.
     """
 
     def __init__(self) -> None:
-        """Make a responder that has not responded yet."""
+        """Create a responder that has not received a request yet."""
         self.delays_seconds: list[float] = []
 
     async def __call__(self, _received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        """Respond, and respond again in a segment of its own, just after the limiter took the first one."""
-        began = time.monotonic()
-        writer.write(RESPONSE_ONE)
+        """Send a response, and a second one in a separate segment after the limiter has read the first."""
+        started_at = time.monotonic()
+        writer.write(FIRST_RESPONSE)
         await writer.drain()
         await asyncio.sleep(0.002)
-        writer.write(RESPONSE_ONE)
-        self.delays_seconds.append(time.monotonic() - began)
+        writer.write(FIRST_RESPONSE)
+        self.delays_seconds.append(time.monotonic() - started_at)
 
 
-async def body_after_twofold_response(harness: LimiterHarness, twofold: TwofoldResponse) -> bytes:
-    """Send a request that gets two responses and another that gets one; return the body of the other's."""
-    round_number = len(twofold.delays_seconds)
-    harness.servers[0].responder = twofold
+async def read_body_after_duplicate_response(
+    harness: LimiterHarness, duplicate_responder: DuplicateResponder
+) -> bytes:
+    """Send a request that gets two responses, then one that gets one; return the body of the latter."""
+    round_number = len(duplicate_responder.delays_seconds)
+    harness.servers[0].responder = duplicate_responder
     client = await harness.connect()
     client.send(build_request(request_id=f"{round_number}a"))
     assert (await client.read_response()).body == b"one"
     harness.servers[0].responder = respond_with(200, b"two")
     client.send(build_request(request_id=f"{round_number}b"))
     response = await client.read_response()
-    await wait_until(lambda: len(twofold.delays_seconds) > round_number, "the second response is written")
+    await wait_until(
+        lambda: len(duplicate_responder.delays_seconds) > round_number, "write of the second response"
+    )
     return response.body
 
 
-async def test_late_second_response_is_not_the_next_response(harness: LimiterHarness) -> None:
-    """Rounds in which this process was kept from writing the second response in time do not count."""
-    twofold = TwofoldResponse()
+async def test_late_duplicate_response_is_not_treated_as_the_next_response(harness: LimiterHarness) -> None:
+    """The second response arrives after the first was forwarded, but before the connection may be reused.
+
+    Rounds in which a busy machine delayed it beyond that time do not count.
+    """
+    duplicate_responder = DuplicateResponder()
     rounds_in_time = 0
     while rounds_in_time < 20:
-        body = await body_after_twofold_response(harness, twofold)
-        if twofold.delays_seconds[-1] < MIN_IDLE_BEFORE_REUSE_SECONDS:
+        body = await read_body_after_duplicate_response(harness, duplicate_responder)
+        if duplicate_responder.delays_seconds[-1] < MIN_IDLE_BEFORE_REUSE_SECONDS:
             rounds_in_time += 1
             assert body == b"two"
 
 
-async def test_interim_response_is_passed_over(harness: LimiterHarness) -> None:
+async def test_interim_response_is_ignored(harness: LimiterHarness) -> None:
     harness.servers[0].responder = respond_raw(
         b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes"
     )
     assert (await harness.send_request(build_request())).body == b"yes"
 
 
-async def test_response_may_be_slow_after_an_interim_one_and_come_in_parts(harness: LimiterHarness) -> None:
+async def test_slow_response_in_parts_after_an_interim_response_is_accepted(harness: LimiterHarness) -> None:
     async def respond_slowly(_received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 103 Early Hints\r\n\r\n")
-        # After an interim response, the server may take its time until the final one.
+        # The stall timeout does not apply to the time between an interim response and the final one.
         await asyncio.sleep(2 * RESPONSE_STALL_TIMEOUT_SECONDS)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n")
         for part in (b"in", b"pa", b"rt"):
@@ -281,13 +297,14 @@
 @limiter_with(settings=make_raw_settings(limits=SHORT_KEEPALIVE))
 async def test_idle_connections_are_closed_before_their_servers_reset_them(harness: LimiterHarness) -> None:
     assert (await harness.send_request(build_request("submit"))).status == 200
-    # Within the keepalive, but after half of it, from which on the limiter does not reuse the connection.
+    # This is within the keepalive time of the server, but after the half of it up to which the limiter reuses
+    # connections.
     await asyncio.sleep(0.8 * KEEPALIVE_SECONDS)
     assert (await harness.send_request(build_request("submit", request_id="2"))).status == 200
     assert [received.connection_number for received in harness.received_requests] == [1, 2]
 
 
-async def test_disconnected_clients_leave_no_sockets_behind(harness: LimiterHarness) -> None:
+async def test_sockets_of_disconnected_clients_are_closed(harness: LimiterHarness) -> None:
     harness.servers[0].responder = never_respond
     descriptors_before = harness.count_open_descriptors()
     for index in range(20):
@@ -296,16 +313,19 @@
         await asyncio.sleep(0.03)
         client.close()
     assert harness.received_requests
-    await wait_until(lambda: harness.count_open_descriptors() <= descriptors_before + 1, "all sockets closed")
+    await wait_until(
+        lambda: harness.count_open_descriptors() <= descriptors_before + 1,
+        "close of all sockets of disconnected clients",
+    )
     harness.servers[0].responder = respond_with(200, b"fine")
-    # For a while the limiter takes a server that has not responded for one without capacity, and rejects.
+    # After missing responses, the limiter assumes for a while that the server has no capacity, and rejects.
     response = await send_while(harness, build_request(request_id="last"), status=429)
     assert response.body == b"fine"
 
 
 @contextlib.contextmanager
-def full_backlog(port: int) -> Iterator[None]:
-    """Listen without accepting, with a full backlog: connections are not completed, as with a partition."""
+def listen_with_full_backlog(port: int) -> Iterator[None]:
+    """Listen with a full backlog and accept nothing: dials do not complete, as in a network partition."""
     with socket.socket() as listening, socket.socket() as filler:
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listening.bind(("127.0.0.1", port))
@@ -315,11 +335,13 @@
 
 
 @limiter_with(servers=2)
-async def test_server_that_never_accepts_is_given_up_in_time(harness: LimiterHarness) -> None:
+async def test_dial_to_a_server_that_never_accepts_times_out_and_another_server_is_used(
+    harness: LimiterHarness,
+) -> None:
     blocked, serving = harness.servers
     blocked.listening_server.close()
-    await asyncio.sleep(0)  # In this turn of the event loop asyncio closes the socket.
-    with full_backlog(blocked.port):
-        began = time.monotonic()
+    await asyncio.sleep(0)  # asyncio closes the socket in this iteration of the event loop.
+    with listen_with_full_backlog(blocked.port):
+        started_at = time.monotonic()
         await check_served_by(serving, harness, request_count=8)
-        assert time.monotonic() - began < WAIT_TIMEOUT_SECONDS
+        assert time.monotonic() - started_at < WAIT_TIMEOUT_SECONDS
