--- a/tests/transport/test_counter_client.py
+++ b/tests/transport/test_counter_client.py
@@ -1,4 +1,4 @@
-"""The shared counter over loopback sockets, with late, missing, invalid and rejecting replies."""
+"""Tests of calls to the shared counter whose replies are late, missing, invalid or errors."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 async def send_requests_until(harness: LimiterHarness, condition: Callable[[], bool]) -> None:
-    """Send requests that may use the counter until the condition holds; each must be served or rejected."""
+    """Send requests that may cause counter calls until the condition holds; each must get 200 or 429."""
     while not condition():
         assert (await harness.send_request(build_request())).status in (200, 429)
         await asyncio.sleep(0.02)
 
 
 async def call_counter(replies: list[bytes]) -> list[Outcome]:
-    """Make one call for each of these replies of a counter, and return the outcomes."""
+    """Call a counter that sends the given replies in turn, once for each reply; return the outcomes."""
     counter = FakeCounter()
     await counter.listen()
     outcomes: list[Outcome] = []
@@ -38,10 +38,12 @@
     client = CounterClient(options, on_reply)
 
     async def call() -> None:
-        await wait_until(lambda: client.connection is not None and client.connection.is_open, "connected")
+        await wait_until(
+            lambda: client.connection is not None and client.connection.is_open, "connection to the counter"
+        )
         outcomes_before = len(outcomes)
         client.add(7, 1.0, 1000.0)
-        await wait_until(lambda: len(outcomes) > outcomes_before, "an outcome")
+        await wait_until(lambda: len(outcomes) > outcomes_before, "outcome of the call")
 
     for reply in replies:
         counter.reply_override = reply
@@ -52,20 +54,21 @@
 
 
 @limiter_with(settings=make_raw_settings_with_quota(rate=5.0, burst=10.0))
-async def test_calls_have_the_protocols_form_and_late_replies_keep_their_order(
+async def test_calls_are_well_formed_and_late_replies_do_not_close_the_connection(
     harness: LimiterHarness,
 ) -> None:
-    harness.counter.delay_seconds = 0.08  # Each call times out before its reply comes.
+    """Late replies are matched to their calls in order, so a timeout does not require a new connection."""
+    harness.counter.delay_seconds = 0.08  # Each call times out before its reply arrives.
     for index in range(6):
         assert (await harness.send_request(build_request(request_id=str(index)))).status in (200, 429)
         await asyncio.sleep(0.25)
-    adds = [call for call in harness.counter.calls if call[0] == b"CNT.ADD"]
-    assert len(adds) > 2
-    for _, name, amount, time_to_live in adds:
+    add_calls = [call for call in harness.counter.calls if call[0] == b"CNT.ADD"]
+    assert len(add_calls) > 2
+    for _, name, amount, time_to_live in add_calls:
         assert 0 <= int(name) < 2**64
         assert float(amount) >= 0
         assert 1 <= int(time_to_live) <= 60000
-    assert harness.counter.accepted_connections == 1  # Late replies do not end the connection.
+    assert harness.counter.accepted_connections == 1  # Late replies do not close the connection.
     harness.counter.delay_seconds = 0.0
     assert (await harness.send_request(build_request(request_id="last"))).status in (200, 429)
 
@@ -89,14 +92,16 @@
     ],
 )
 @limiter_with(settings=make_raw_settings_with_quota(rate=5.0, burst=4.0))
-async def test_invalid_reply_ends_the_connection_and_requests_still_get_responses(
+async def test_invalid_reply_closes_the_connection_and_requests_still_get_responses(
     harness: LimiterHarness, reply: bytes
 ) -> None:
+    """After an invalid reply, later replies on the same connection cannot be matched to their calls."""
     harness.counter.reply_override = reply
     await send_requests_until(harness, lambda: harness.counter.accepted_connections >= 2)
 
 
-async def test_only_busy_and_err_say_that_nothing_was_added() -> None:
+async def test_only_busy_and_err_replies_are_treated_as_not_applied() -> None:
+    """After any other error reply the counter may have added the units, so the call counts as timed out."""
     replies = [b"-BUSY\r\n", b"-ERR no such call\r\n", b"-BUSYBODY\r\n", b"-\xff\r\n", b"$2\r\n12\r\n"]
     assert await call_counter(replies) == [
         Outcome.REJECTED,
@@ -107,10 +112,10 @@
     ]
 
 
-async def test_after_an_invalid_reply_the_next_connection_is_opened_at_once(
+async def test_client_reconnects_without_backoff_after_an_invalid_reply(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # With these the test would time out if the client backed off.
+    # With these delays, the test would time out if the client waited before it reconnects.
     monkeypatch.setattr(counter_client_module, "FIRST_BACKOFF_SECONDS", 1000.0)
     monkeypatch.setattr(counter_client_module, "MAX_BACKOFF_SECONDS", 1000.0)
     outcomes = await call_counter([b"$2\r\n12\r\n", b"$2\r\n0x\r\n"] * 4)
@@ -118,15 +123,15 @@
 
 
 @limiter_with(settings=make_raw_settings_with_quota(rate=5.0, burst=4.0))
-async def test_counter_that_does_not_reply_is_connected_to_again(harness: LimiterHarness) -> None:
+async def test_limiter_reconnects_to_a_counter_that_does_not_reply(harness: LimiterHarness) -> None:
     harness.counter.delay_seconds = 30.0
     await send_requests_until(harness, lambda: harness.counter.accepted_connections >= 2)
 
 
 @limiter_with(settings=make_raw_settings_with_quota(rate=5.0, burst=4.0))
-async def test_counter_that_was_down_is_used_again(harness: LimiterHarness) -> None:
+async def test_counter_is_used_again_after_it_was_down(harness: LimiterHarness) -> None:
     harness.counter.listening_server.close()
-    harness.counter.reply_override = b"?rubbish\r\n"  # An invalid reply ends the connection.
+    harness.counter.reply_override = b"?rubbish\r\n"  # The limiter closes the connection.
     await send_requests_until(harness, lambda: bool(harness.counter.calls))
     await asyncio.sleep(0.3)
     assert (await harness.send_request(build_request())).status in (200, 429)
@@ -137,17 +142,22 @@
 
 
 @limiter_with(settings=make_raw_settings_with_quota(rate=5.0, burst=10.0))
-async def test_busy_counter_keeps_its_connection_and_requests_still_pass(harness: LimiterHarness) -> None:
+async def test_busy_reply_does_not_close_the_connection_and_requests_are_still_served(
+    harness: LimiterHarness,
+) -> None:
     harness.counter.reply_override = b"-BUSY\r\n"
     statuses = [
         (await harness.send_request(build_request(request_id=str(index)))).status for index in range(5)
     ]
     assert statuses[0] == 200
-    assert harness.counter.accepted_connections == 1  # A rejection is a valid reply.
+    assert harness.counter.accepted_connections == 1  # -BUSY is a valid reply.
 
 
 @limiter_with(settings=make_raw_settings_with_quota(rate=0.5, burst=1.0))
-async def test_requests_held_for_the_counter_end_without_any_reply(harness: LimiterHarness) -> None:
+async def test_requests_waiting_for_the_counter_are_answered_without_its_reply(
+    harness: LimiterHarness,
+) -> None:
+    """Each request gets a response although discovery, the counter and the server do not respond."""
     harness.discovery.is_responding = False
     harness.counter.delay_seconds = 5.0
     harness.servers[0].responder = never_respond
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback sockets: with changes, invalid lists, overload, and without responses."""
+"""Tests of the watch on discovery: changes, invalid lists, overload, and missing responses."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 from tests.support.limiter_settings import make_configured_endpoint_list, make_raw_settings
 from tests.support.waiting import wait_until
 
-REQUEST_COUNT = 12  # Enough requests for each server that is in use to get some of them.
+REQUEST_COUNT = 12  # Enough requests for each server in use to receive at least one.
 
 
 @limiter_with(servers=3)
-async def test_draining_and_removed_servers_get_no_new_requests(harness: LimiterHarness) -> None:
+async def test_draining_and_removed_servers_receive_no_new_requests(harness: LimiterHarness) -> None:
     first, second, third = harness.servers
     harness.discovery.publish(first.make_list_entry("leaving"), second.make_list_entry("left"))
     await wait_until(lambda: len(harness.discovery.calls) > 2)
     await wait_until_list_version_applied(harness, 2)
     assert await collect_response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-2"}
-    # A full list removes the servers that it does not name.
+    # A full list removes the servers that it does not contain.
     harness.discovery.publish(second.make_list_entry(), full_list=True)
     await wait_until_list_version_applied(harness, 3)
     third.received_requests.clear()
@@ -40,7 +40,9 @@
 
 
 @limiter_with(servers=2)
-async def test_server_that_moves_is_found_at_its_new_address(harness: LimiterHarness) -> None:
+async def test_server_with_a_changed_address_receives_requests_at_the_new_address(
+    harness: LimiterHarness,
+) -> None:
     moving, other = harness.servers
     harness.discovery.publish(moving.make_list_entry(), full_list=True)
     await wait_until_list_version_applied(harness, 2)
@@ -50,7 +52,9 @@
     assert await collect_response_bodies(harness, "submit", 3) == {b"from s-1"}
 
 
-async def test_calls_follow_on_one_connection_and_ask_for_changes(harness: LimiterHarness) -> None:
+async def test_successive_calls_reuse_the_connection_and_request_only_changes(
+    harness: LimiterHarness,
+) -> None:
     for _ in range(5):
         harness.discovery.publish(harness.servers[0].make_list_entry())
         await wait_until_list_version_applied(harness, harness.discovery.version)
@@ -58,7 +62,8 @@
     assert all("since=" in target for _, target in harness.discovery.calls[1:])
 
 
-def test_zones_that_the_settings_do_not_name_are_distinct_and_not_kept() -> None:
+def test_zones_missing_from_the_settings_get_distinct_numbers_and_are_not_stored() -> None:
+    """If unknown zones were stored, the memory for names would grow with each new zone in a list."""
     names = NameNumbering(["a", "b"], ["m"])
     entry = {"instanceId": "s", "hostPort": "127.0.0.1:1", "lifecycle": "active"}
     instances = [{**entry, "zone": zone, "machineType": zone} for zone in ("a", "x", "y", "x", "b")]
@@ -80,19 +85,25 @@
         b'{"generation":9,"reset":false,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:1",'
         b'"lifecycle":"active","startedAtMs":1' + b"0" * 400 + b"}]}",
     ],
-    ids=["not JSON", "nested too deeply", "no address", "instances not a list", "start time too large"],
+    ids=[
+        "not JSON",
+        "JSON nested too deeply",
+        "invalid address",
+        "instances not a list",
+        "start time too large",
+    ],
 )
-async def test_after_an_invalid_list_the_last_one_stands_and_the_full_one_is_asked_for(
+async def test_invalid_list_does_not_replace_the_current_one_and_a_full_list_is_requested(
     harness: LimiterHarness, text: bytes
 ) -> None:
     connections_before = harness.discovery.accepted_connections
     harness.discovery.body_override = text
     harness.discovery.publish()
+    await wait_until(lambda: harness.discovery.accepted_connections > connections_before, "a new connection")
+    assert (await harness.send_request(build_request())).body == b"from s-0"
     await wait_until(
-        lambda: harness.discovery.accepted_connections > connections_before, "another connection"
+        lambda: harness.discovery.calls[-1].target == "/catalog/members", "a call for the full list"
     )
-    assert (await harness.send_request(build_request())).body == b"from s-0"
-    await wait_until(lambda: harness.discovery.calls[-1].target == "/catalog/members", "the full list")
     harness.discovery.body_override = None
     harness.discovery.publish(harness.servers[0].make_list_entry(), full_list=True)
     await wait_until_list_version_applied(harness, harness.discovery.version)
@@ -100,22 +111,22 @@
 
 
 @limiter_with(settings=make_raw_settings(discovery="on_request"))
-async def test_start_asks_for_the_changes_since_the_known_list(harness: LimiterHarness) -> None:
+async def test_first_call_requests_the_changes_since_the_configured_list(harness: LimiterHarness) -> None:
     assert harness.discovery.calls[0].target == "/catalog/members?since=1&timeout_ms=1"
     assert (await harness.send_request(build_request())).body == b"from s-0"
 
 
 @limiter_with(servers=2)
-async def test_start_asks_for_the_full_list_where_lists_are_pushed(harness: LimiterHarness) -> None:
-    """Each agent numbers its lists on its own: changes since another agent's version would miss some."""
+async def test_first_call_to_a_local_agent_requests_the_full_list(harness: LimiterHarness) -> None:
+    """Each agent numbers its lists independently: changes since another agent's version are incomplete."""
     listed, unlisted = harness.servers
-    known = make_configured_endpoint_list(listed.make_list_entry(), unlisted.make_list_entry())
+    configured_list = make_configured_endpoint_list(listed.make_list_entry(), unlisted.make_list_entry())
     harness.discovery.version = 9
     harness.discovery.full_list = False
     harness.discovery.entries = [listed.make_list_entry()]
     harness.process.kill()
     await harness.process.wait()
-    await harness.restart(known=known)
+    await harness.restart(known=configured_list)
     target = harness.discovery.calls[-1].target
     assert target == "/catalog/members" or "since=9" in target
     assert await collect_response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
@@ -123,29 +134,31 @@
 
 
 @limiter_with(servers=2, settings=make_raw_settings(discovery="on_request"))
-async def test_overloaded_discovery_is_asked_again_for_no_more_than_the_changes(
+async def test_only_changes_are_requested_from_an_overloaded_discovery(
     harness: LimiterHarness,
 ) -> None:
+    """A full list costs discovery one entry per server, so an overload must not lead to its request."""
     harness.discovery.status = 503
     harness.discovery.publish(harness.servers[1].make_list_entry("leaving"))
     calls_before = len(harness.discovery.calls)
-    await wait_until(lambda: len(harness.discovery.calls) > calls_before + 2, "more calls")
+    await wait_until(lambda: len(harness.discovery.calls) > calls_before + 2, "further calls")
     harness.discovery.status = 200
     await wait_until_list_version_applied(harness, 2)
     assert all("since=" in target for _, target in harness.discovery.calls)
     assert await collect_response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
 
 
-class RecordedWatch:
-    """A discovery watch of one of 200 limiters that share an agent, and what it reports.
+class WatchRecorder:
+    """Creates the watch of one of 200 limiters that share a discovery agent, and records what it reports.
 
     Attributes:
-        changes: for each list, the number of its entries, whether it is full, and whether it is a known one.
-        failures: for each failed call, whether the agent rejected it.
+        changes: for each reported list, its number of entries, whether it is full, and whether it comes from
+            the configuration.
+        failures: for each failed call, whether discovery was overloaded.
     """
 
     def __init__(self, discovery: FakeDiscovery) -> None:
-        """Make a watch of the agent; it must run in an event loop, and calls nobody before it is started."""
+        """Create a watch of `discovery` in the running event loop; it makes no calls before it is started."""
         self.discovery = discovery
         self.changes: list[tuple[int, bool, bool]] = []
         self.failures: list[bool] = []
@@ -164,71 +177,73 @@
         )
 
     async def wait_for_failure(self, number: int) -> None:
-        """Wait for the failure with this number, from 1, and check that the watch does not call by itself."""
-        await wait_until(lambda: len(self.failures) == number, "a failed call")
+        """Wait for failure `number`, counted from 1, and check that the watch makes no call by itself."""
+        await wait_until(lambda: len(self.failures) == number, "failure of a call")
         assert len(self.discovery.calls) == number
         assert not self.watch.poll_allowed.is_set()
 
 
-async def test_watch_calls_an_overloaded_discovery_again_only_after_call() -> None:
-    """When the policy lets it call again is in test_discovery_backoff.py.
+async def test_watch_calls_an_overloaded_discovery_again_only_when_allowed() -> None:
+    """The policy chooses the time of the next call, which is tested in test_discovery_backoff.py.
 
-    Before that, one of 200 limiters called again only after 5 to 45 s.
+    Before the policy did so, one of 200 limiters made its next call only after 5 to 45 s.
     """
     discovery = FakeDiscovery()
     await discovery.listen()
     discovery.status = 503
-    recorded = RecordedWatch(discovery)
-    recorded.watch.start()
-    await recorded.wait_for_failure(1)
-    recorded.watch.allow_next_poll()
-    await recorded.wait_for_failure(2)
+    recorder = WatchRecorder(discovery)
+    recorder.watch.start()
+    await recorder.wait_for_failure(1)
+    recorder.watch.allow_next_poll()
+    await recorder.wait_for_failure(2)
     discovery.status = 200
-    recorded.watch.allow_next_poll()
-    await wait_until(lambda: recorded.changes)
-    recorded.watch.close()
+    recorder.watch.allow_next_poll()
+    await wait_until(lambda: recorder.changes)
+    recorder.watch.close()
     discovery.listening_server.close()
-    assert recorded.failures[:2] == [True, True]
-    assert recorded.changes[0] == (0, True, False)
+    assert recorder.failures[:2] == [True, True]
+    assert recorder.changes[0] == (0, True, False)
 
 
 @limiter_with(servers=2, settings=make_raw_settings(discovery="on_request", peersTotal=200))
-async def test_one_of_many_limiters_reads_the_changes_within_six_seconds_after_an_overload(
+async def test_limiter_of_a_large_fleet_receives_changes_within_six_seconds_after_an_overload(
     harness: LimiterHarness,
 ) -> None:
-    """In a trial with 200 limiters whose calls were rejected for 3 s, the next call came 24 s later."""
+    """With 200 limiters whose calls were rejected for 3 s, the next call was once made only 24 s later."""
     await wait_until(lambda: harness.discovery.response_times)
     harness.discovery.status = 503
     harness.discovery.publish(harness.servers[1].make_list_entry("leaving"))
     responses_before = len(harness.discovery.response_times)
-    await wait_until(lambda: len(harness.discovery.response_times) > responses_before, "a rejected call")
+    await wait_until(lambda: len(harness.discovery.response_times) > responses_before, "rejection of a call")
     harness.discovery.status = 200
-    began = time.monotonic()
+    started_at = time.monotonic()
     await wait_until_list_version_applied(harness, 2)
-    assert time.monotonic() - began < 6.0
+    assert time.monotonic() - started_at < 6.0
     assert await collect_response_bodies(harness, "submit", REQUEST_COUNT) == {b"from s-0"}
 
 
-async def test_lower_version_leads_to_the_full_list(harness: LimiterHarness) -> None:
+async def test_full_list_is_requested_after_the_version_decreases(harness: LimiterHarness) -> None:
+    """Changes that discovery sends with a lower version do not apply to the current list."""
     harness.discovery.version = 0
     harness.discovery.full_list = False
-    harness.discovery.ends_next_watch = True  # The agent responds to the open watch with its present version.
+    harness.discovery.ends_next_watch = True  # The agent responds to the open call with its current version.
     await wait_until_list_version_applied(harness, 0)
     assert any(target == "/catalog/members" for _, target in harness.discovery.calls)
 
 
-def test_calls_to_a_shared_discovery_wait_longer_the_more_limiters_there_are() -> None:
+def test_long_polls_to_a_shared_discovery_lengthen_with_the_number_of_limiters() -> None:
     pacings = [PollPacing.for_fleet(limiters, uses_local_agent=False) for limiters in (1, 4, 40, 400)]
     assert [pacing.long_poll_ms for pacing in pacings] == [4000, 4000, 10000, 20000]
-    # A limiter is expected to know a change after 2 s.
+    # A change is considered known to every limiter after 2 s.
     assert {pacing.grace_seconds for pacing in pacings} == {1.5}
 
 
 @pytest.mark.parametrize("limiters", [1, 200])
-def test_agent_that_stops_responding_is_noticed_before_requests_have_to_stop(limiters: int) -> None:
+def test_unresponsive_local_agent_is_detected_before_sending_to_a_server_must_stop(limiters: int) -> None:
+    """The shortest time within which sending to a server has to stop is 250 ms."""
     pacing = PollPacing.for_fleet(limiters, uses_local_agent=True)
     assert pacing.grace_seconds + 1.2 * pacing.max_backoff_seconds < 0.25
-    # This is for an agent that stops to respond during a call.
+    # This bound applies to an agent that stops responding during a long poll.
     assert pacing.long_poll_ms / 1000 + pacing.grace_seconds < 6.0
 
 
@@ -241,15 +256,15 @@
         ),
     ],
 )
-async def test_discovery_that_does_not_respond_is_asked_in_short_calls(
+async def test_unresponsive_discovery_is_called_with_short_polls(
     harness: LimiterHarness,
 ) -> None:
-    """With one long call, a change was missed for as long as that call waited."""
+    """If discovery does not respond, a long poll delays the detection of a change until its timeout."""
     await wait_until(lambda: harness.discovery.response_times)
     harness.discovery.is_responding = False
     harness.discovery.publish(harness.servers[1].make_list_entry("leaving"))
     connections_before = harness.discovery.accepted_connections
-    await wait_until(lambda: harness.discovery.accepted_connections > connections_before + 2, "more calls")
+    await wait_until(lambda: harness.discovery.accepted_connections > connections_before + 2, "further calls")
     for _, target in harness.discovery.calls[-2:]:
         assert target.endswith("timeout_ms=1")
     harness.discovery.is_responding = True
@@ -258,7 +273,7 @@
 
 
 @limiter_with(servers=2)
-async def test_discovery_that_does_not_respond_is_connected_to_again_and_its_changes_are_applied(
+async def test_limiter_reconnects_to_an_unresponsive_discovery_and_applies_its_changes(
     harness: LimiterHarness,
 ) -> None:
     harness.discovery.is_responding = False
@@ -274,7 +289,7 @@
 
 
 @limiter_with(wait_ready=False, entries=[REMOVED_SERVER])
-async def test_limiter_is_ready_only_once_a_server_is_known(harness: LimiterHarness) -> None:
+async def test_limiter_is_not_ready_before_a_server_is_listed(harness: LimiterHarness) -> None:
     assert (await harness.send_request(HEALTH_CHECK)).status == 503
     harness.discovery.publish(harness.servers[0].make_list_entry())
     await harness.wait_until_healthy()
@@ -282,7 +297,7 @@
 
 
 @limiter_with(wait_ready=False, discovery_responds=False)
-async def test_known_list_is_used_while_discovery_does_not_respond(harness: LimiterHarness) -> None:
+async def test_configured_list_is_used_while_discovery_does_not_respond(harness: LimiterHarness) -> None:
     await harness.wait_until_healthy()
     assert (await harness.send_request(build_request())).body == b"from s-0"
     assert harness.discovery.response_times == []
--- a/tests/transport/test_reload.py
+++ b/tests/transport/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: discovery and counter move to what the configuration file names now, under load."""
+"""Tests of the reload on SIGHUP, which changes the addresses of discovery and the counter under load."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.support.waiting import wait_until
 
 
-async def listening_discovery(*entries: dict[str, Any], version: int = 1) -> FakeDiscovery:
-    """Start another discovery agent, which numbers its lists on its own."""
+async def start_discovery(*entries: dict[str, Any], version: int = 1) -> FakeDiscovery:
+    """Start another discovery agent, whose list versions are independent of the first agent's."""
     discovery = FakeDiscovery()
     discovery.version = version
     discovery.entries = list(entries)
@@ -25,7 +25,7 @@
 
 
 async def send_requests_until(harness: LimiterHarness, condition: Callable[[], object]) -> None:
-    """Send requests until the condition holds; one would fail while the limiter had no server in its list."""
+    """Send requests until the condition holds; all must succeed, so the endpoint list may never be empty."""
     number = 0
     while not condition():
         number += 1
@@ -34,15 +34,18 @@
 
 
 @limiter_with(servers=2)
-async def test_the_full_list_of_a_new_discovery_is_taken_whatever_its_version(
+async def test_full_list_of_a_new_discovery_is_applied_even_if_its_version_is_lower(
     harness: LimiterHarness,
 ) -> None:
-    """Each agent numbers its lists on its own; the environment still names the old agent."""
+    """Each agent numbers its lists independently, so versions of different agents are not comparable.
+
+    The environment still contains the address of the old agent, which must not take precedence.
+    """
     first, second = harness.servers
     harness.discovery.version = 900
     harness.discovery.publish(first.make_list_entry(), full_list=True)
     await wait_until(lambda: "since=901" in harness.discovery.calls[-1].target)
-    new_discovery = await listening_discovery(second.make_list_entry(), version=3)
+    new_discovery = await start_discovery(second.make_list_entry(), version=3)
     harness.reload_configuration(discovery=new_discovery.address)
     await send_requests_until(harness, lambda: len(new_discovery.calls) > 1)
     assert new_discovery.calls[0].target == "/catalog/members"
@@ -54,18 +57,18 @@
 
 
 @limiter_with(servers=2)
-async def test_the_list_stands_while_a_new_discovery_is_silent(harness: LimiterHarness) -> None:
-    """Another move works while the first one is under way, and so does a move back to the first agent."""
+async def test_current_list_is_kept_while_a_new_discovery_does_not_respond(harness: LimiterHarness) -> None:
+    """The address can be changed again before the new agent has responded, and back to the first agent."""
     first, second = harness.servers
     harness.discovery.publish(first.make_list_entry(), full_list=True)
     await wait_until(lambda: "since=2" in harness.discovery.calls[-1].target)
-    silent = await listening_discovery()
-    new_discovery = await listening_discovery(second.make_list_entry())
-    silent.is_responding = False
-    harness.reload_configuration(discovery=silent.address)
-    await send_requests_until(harness, lambda: silent.calls)
+    silent_discovery = await start_discovery()
+    new_discovery = await start_discovery(second.make_list_entry())
+    silent_discovery.is_responding = False
+    harness.reload_configuration(discovery=silent_discovery.address)
+    await send_requests_until(harness, lambda: silent_discovery.calls)
     assert (await harness.send_request(build_request("submit"))).body == b"from s-0"
-    harness.reload_configuration(discovery=new_discovery.address)  # The first move is still under way.
+    harness.reload_configuration(discovery=new_discovery.address)  # The silent agent has not responded yet.
     await wait_until(lambda: len(new_discovery.calls) > 1)
     assert (await harness.send_request(build_request("submit"))).body == b"from s-1"
     harness.reload_configuration(discovery=harness.discovery.address)
@@ -76,12 +79,14 @@
 
 
 async def wait_for_log_line_after(harness: LimiterHarness, line_count: int) -> None:
-    """Wait until the log has more lines than that."""
-    await wait_until(lambda: len(harness.log_lines) > line_count, "a log line")
+    """Wait until the log has more than `line_count` lines."""
+    await wait_until(lambda: len(harness.log_lines) > line_count, "another log line")
 
 
-async def test_a_bad_file_is_logged_in_one_line_and_the_service_goes_on(harness: LimiterHarness) -> None:
-    """The limiter keeps the configuration that it has read before."""
+async def test_invalid_configuration_file_is_logged_in_one_line_and_requests_are_still_served(
+    harness: LimiterHarness,
+) -> None:
+    """The limiter keeps the current configuration and continues to serve requests."""
     texts = ["{", "[]", "", "[" * 100_000, '{"name": "n0"}']
     for number, text in enumerate(texts):
         line_count = len(harness.log_lines)
@@ -96,39 +101,44 @@
 
 
 async def send_sixty_requests(harness: LimiterHarness) -> None:
-    """Send requests in sequence, each of which is either served or rejected."""
+    """Send 60 requests in sequence; each must get 200 or 429."""
     for number in range(60):
         assert (await harness.send_request(build_request(request_id=f"c{number}"))).status in (200, 429)
         await asyncio.sleep(0.02)
 
 
 @limiter_with(settings=make_raw_settings_with_quota(rate=5.0, burst=10.0))
-async def test_calls_in_flight_on_the_old_counter_are_not_repeated(harness: LimiterHarness) -> None:
-    """Their replies are read, and the old connection is closed."""
+async def test_calls_in_flight_to_the_old_counter_are_not_repeated_at_the_new_one(
+    harness: LimiterHarness,
+) -> None:
+    """A repeated call would add the same units at both counters.
+
+    The replies to these calls are still read, after which the old connection is closed.
+    """
     new_counter = FakeCounter()
     await new_counter.listen()
     harness.counter.delay_seconds = 0.04  # Calls time out after 0.05 s.
-    sending = asyncio.create_task(send_sixty_requests(harness))
+    sending_task = asyncio.create_task(send_sixty_requests(harness))
     await wait_until(lambda: harness.counter.calls)
     harness.reload_configuration(counter=new_counter.address)
-    await wait_until(lambda: new_counter.calls, "calls at the new counter")
-    await sending
+    await wait_until(lambda: new_counter.calls, "calls to the new counter")
+    await sending_task
     calls = [*harness.counter.calls, *new_counter.calls]
-    added = sum(float(call[2]) for call in calls if call[0] == b"CNT.ADD")
-    # Each unit that was forwarded is added once, or is still to be added.
-    assert added <= len(harness.received_requests) + 1e-6
+    added_units = sum(float(call[2]) for call in calls if call[0] == b"CNT.ADD")
+    # The units of each forwarded request are added once, or have not been added yet.
+    assert added_units <= len(harness.received_requests) + 1e-6
     await wait_until(
         lambda: harness.counter.closed_connections == harness.counter.accepted_connections,
-        "the old connection is closed",
+        "close of the old connection",
     )
 
 
 @limiter_with(settings=make_raw_settings_with_quota(rate=5.0, burst=4.0))
-async def test_a_counter_that_does_not_listen_yet_is_used_once_it_does(harness: LimiterHarness) -> None:
-    """Requests are decided without a counter until then."""
+async def test_new_counter_that_refuses_connections_is_used_once_it_listens(harness: LimiterHarness) -> None:
+    """Until then, requests are admitted or rejected without the counter."""
     new_counter = FakeCounter()
     await new_counter.listen()
-    new_counter.listening_server.close()  # From now on, connections to its port are refused.
+    new_counter.listening_server.close()  # Connections to its port are refused after this.
     harness.reload_configuration(counter=new_counter.address)
     await wait_until(lambda: any("counter_connect_failed" in line for line in harness.log_lines))
     assert (await harness.send_request(build_request())).status in (200, 429)
