--- a/tests/transport/__init__.py
+++ b/tests/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the transport over loopback sockets."""
+"""Tests of the transport layer over loopback sockets."""
--- a/tests/transport/conftest.py
+++ b/tests/transport/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the transport's tests: a running limiter, and a bound on the time of each asynchronous test."""
+"""Fixtures of the transport tests: a running limiter process, and a timeout for each asynchronous test."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 from tests.support.harness import HarnessOptions, LimiterHarness, get_marked_options, running_limiter
 from tests.support.waiting import WAIT_TIMEOUT_SECONDS
 
-# Longest time that an asynchronous test may take. Without it, a test would wait for ever for an event that
-# does not come. Three waits, each as long as it may take on a busy machine, fit into it.
+# Timeout of an asynchronous test. Without it, a test would wait forever for an event that does not occur. It
+# leaves room for three waits of the longest duration that a busy machine may need.
 TEST_TIMEOUT_SECONDS = 3 * WAIT_TIMEOUT_SECONDS
 
 
-def _with_timeout(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., Coroutine[Any, Any, None]]:
+def _add_timeout(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., Coroutine[Any, Any, None]]:
     @functools.wraps(test)
-    async def bounded_test(**fixtures: Any) -> None:
+    async def test_with_timeout(**fixtures: Any) -> None:
         async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             await test(**fixtures)
 
-    return bounded_test
+    return test_with_timeout
 
 
 def pytest_itemcollected(item: pytest.Item) -> None:
-    """Bound the time of each asynchronous test of this package, that of its fixtures aside."""
+    """Apply the timeout to each asynchronous test of this package; it does not cover the fixtures."""
     if isinstance(item, pytest.Function) and inspect.iscoroutinefunction(item.obj):
-        item.obj = _with_timeout(item.obj)
+        item.obj = _add_timeout(item.obj)
 
 
 @pytest.fixture
 def harness_options(request: pytest.FixtureRequest) -> HarnessOptions:
-    """Return the options that the test's `limiter_with` mark gives to its harness."""
+    """Return the options of the test's harness, as set by its `limiter_with` mark."""
     return get_marked_options(request.node)
 
 
 @pytest.fixture
 async def harness(harness_options: HarnessOptions) -> AsyncIterator[LimiterHarness]:
-    """Run a limiter process between fakes; a test chooses its options with `limiter_with`."""
+    """Run a limiter process between fake peers; a test sets its options with `limiter_with`."""
     async with running_limiter(**harness_options) as running:
         yield running
--- a/tests/transport/test_restart_together.py
+++ b/tests/transport/test_restart_together.py
@@ -1,4 +1,4 @@
-"""Limiters that restart together, on real sockets: they are ready in time, whatever discovery does."""
+"""Tests that limiters that start simultaneously are ready in time, whatever the state of discovery."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from tests.support.limiter_settings import make_configured_endpoint_list, make_raw_settings_with_quota
 
 LIMITER_COUNT = 5
-READY_SECONDS = 10.0  # A limiter must be ready so soon after its start, or after discovery's first response.
+MAX_READY_SECONDS = 10.0  # Longest time from the start, or from discovery's recovery.
 
 
 class DiscoveryState(StrEnum):
-    """What the limiters find in place of a working discovery agent."""
+    """Why discovery is not available when the limiters start."""
 
     NOT_RESPONDING = "not responding"
     OVERLOADED = "overloaded"
@@ -33,56 +33,56 @@
     FULL_BACKLOG = "full backlog"
 
 
-def unused_port() -> int:
-    """Return a port of loopback at which nobody listens."""
+def find_unused_port() -> int:
+    """Return a port of the loopback interface on which no process listens."""
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         return int(free.getsockname()[1])
 
 
 class SharedPeers:
-    """The one server, the discovery agent and the counter that all limiters share.
+    """The server, the discovery agent and the counter that all limiters share.
 
-    With `REFUSING` and `FULL_BACKLOG` the counter cannot be reached either.
+    In the states `REFUSING` and `FULL_BACKLOG`, the counter is unreachable too.
     """
 
     def __init__(self, state: DiscoveryState) -> None:
-        """Make the peers, which do not listen yet."""
+        """Create the peers, which do not listen yet."""
         self.state = state
         self.server = FakeServer("s-0")
         self.discovery = FakeDiscovery()
         self.counter = FakeCounter()
-        self.full = SlowAcceptServer("full")
+        self.full_backlog_server = SlowAcceptServer("full")
         self.discovery.is_responding = state is not DiscoveryState.NOT_RESPONDING
         self.discovery.status = 503
 
     async def listen(self) -> None:
-        """Accept connections, but for those that the discovery state rules out."""
-        for peer in (self.server, self.counter, self.discovery, self.full):
+        """Start to accept connections, except those that the state of discovery prevents."""
+        for peer in (self.server, self.counter, self.discovery, self.full_backlog_server):
             await peer.listen()
         if self.state is DiscoveryState.REFUSING:
-            self.discovery.port = unused_port()
-            self.counter.port = unused_port()
+            self.discovery.port = find_unused_port()
+            self.counter.port = find_unused_port()
         elif self.state is DiscoveryState.FULL_BACKLOG:
-            self.discovery.port = self.full.port
-            self.counter.port = self.full.port
+            self.discovery.port = self.full_backlog_server.port
+            self.counter.port = self.full_backlog_server.port
         self.discovery.entries = [self.server.make_list_entry()]
 
-    def known_list(self) -> dict[str, Any]:
-        """Return the list with the server, for a limiter's configuration."""
+    def configured_list(self) -> dict[str, Any]:
+        """Return the endpoint list with the server, for the configuration of a limiter."""
         return make_configured_endpoint_list(*self.discovery.entries)
 
     def recover(self) -> None:
-        """Let discovery respond with its list from now on."""
+        """Make discovery respond with its list."""
         self.discovery.is_responding = True
         self.discovery.status = 200
 
 
 @contextlib.asynccontextmanager
-async def limiters_started_together(
-    folder: Path, peers: SharedPeers, known_list: dict[str, Any] | None
+async def start_limiters_together(
+    folder: Path, peers: SharedPeers, configured_list: dict[str, Any] | None
 ) -> AsyncIterator[list[LimiterHarness]]:
-    """Run limiters that start at once, every other one with a pushed list; all of them listen already."""
+    """Start limiters simultaneously, every other one with pushed lists; yield once all of them listen."""
     limiters = [LimiterHarness(folder / f"{index}", 0) for index in range(LIMITER_COUNT)]
     for index, limiter in enumerate(limiters):
         limiter.config_folder.mkdir()
@@ -93,7 +93,7 @@
             "listen": "127.0.0.1:0",
             "seed": f"{index}",
             "settings": with_quota,
-            "known": known_list,
+            "known": configured_list,
             "counter": peers.counter.address,
         }
     await asyncio.gather(*(limiter.launch(DEFAULT_DESCRIPTOR_LIMIT) for limiter in limiters))
@@ -105,9 +105,9 @@
 
 
 async def check_ready_in_time(limiters: list[LimiterHarness], started: float) -> None:
-    """Check that all limiters are healthy soon after that time, and that each then serves a request."""
+    """Check that all limiters are healthy within MAX_READY_SECONDS of `started` and serve a request."""
     await asyncio.gather(*(limiter.wait_until_healthy() for limiter in limiters))
-    assert time.monotonic() - started < READY_SECONDS
+    assert time.monotonic() - started < MAX_READY_SECONDS
     responses = await asyncio.gather(
         *(
             limiter.send_request(build_request(request_id=f"{index}"))
@@ -118,25 +118,25 @@
 
 
 @pytest.mark.parametrize("state", DiscoveryState)
-async def test_limiters_with_a_known_list_that_restart_together_are_ready_in_time(
+async def test_limiters_with_a_configured_list_are_ready_in_time_while_discovery_is_unavailable(
     state: DiscoveryState, tmp_path: Path
 ) -> None:
-    """They serve by the known list, whatever discovery and the counter do."""
+    """They use the configured list while discovery and the counter are unavailable."""
     peers = SharedPeers(state)
     await peers.listen()
     started = time.monotonic()
-    async with limiters_started_together(tmp_path, peers, peers.known_list()) as limiters:
+    async with start_limiters_together(tmp_path, peers, peers.configured_list()) as limiters:
         await check_ready_in_time(limiters, started)
 
 
 @pytest.mark.parametrize("state", [DiscoveryState.NOT_RESPONDING, DiscoveryState.OVERLOADED])
-async def test_limiters_without_a_known_list_are_ready_soon_after_discovery_recovers(
+async def test_limiters_without_a_configured_list_are_ready_in_time_after_discovery_recovers(
     state: DiscoveryState, tmp_path: Path
 ) -> None:
-    """Before that, they know no server and report that they are not healthy."""
+    """Before that, they have no servers and fail their health checks."""
     peers = SharedPeers(state)
     await peers.listen()
-    async with limiters_started_together(tmp_path, peers, known_list=None) as limiters:
+    async with start_limiters_together(tmp_path, peers, configured_list=None) as limiters:
         assert {(await limiter.send_request(HEALTH_CHECK)).status for limiter in limiters} == {503}
         peers.recover()
         await check_ready_in_time(limiters, time.monotonic())
--- a/tests/transport/test_sample_configuration.py
+++ b/tests/transport/test_sample_configuration.py
@@ -1,4 +1,4 @@
-"""The sample configuration that the README starts the limiter with is valid and starts as it stands."""
+"""Tests that the sample configuration in the README is valid and that the limiter starts with it."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from tests.support.waiting import WAIT_TIMEOUT_SECONDS
 
 ROOT = Path(__file__).parents[2]
-SAMPLE = "deploy/sample/config.json"  # as the README names it, from the root
-LISTENING = re.compile(r"listening name=sample address=127\.0\.0\.1:(\d+)")
+SAMPLE_PATH = "deploy/sample/config.json"  # The path in the README, relative to the repository root.
+LISTENING_LOG_PATTERN = re.compile(r"listening name=sample address=127\.0\.0\.1:(\d+)")
 
 
 @contextmanager
-def running_sample(**overrides: str) -> Iterator[subprocess.Popen[str]]:
-    """Run a limiter with the sample configuration; it is killed if the test takes too long.
+def run_sample_limiter(**overrides: str) -> Iterator[subprocess.Popen[str]]:
+    """Run a limiter with the sample configuration; kill it if the test takes too long.
 
     Args:
-        overrides: environment variables that replace keys of the configuration.
+        overrides: environment variables that override keys of the configuration.
     """
-    environment = {**os.environ, "RELAY_CONFIG": SAMPLE, **overrides}
+    environment = {**os.environ, "RELAY_CONFIG": SAMPLE_PATH, **overrides}
     command = [sys.executable, "-m", "limiter"]
     with subprocess.Popen(command, cwd=ROOT, env=environment, stderr=subprocess.PIPE, text=True) as process:
         kill_timer = threading.Timer(WAIT_TIMEOUT_SECONDS, process.kill)
@@ -41,19 +41,19 @@
 
 
 def read_port(process: subprocess.Popen[str]) -> int:
-    """Return the port that the limiter logs once it listens."""
+    """Read the log until the limiter listens, and return the port."""
     assert process.stderr is not None
     lines = []
     for line in process.stderr:
-        if found := LISTENING.search(line):
+        if found := LISTENING_LOG_PATTERN.search(line):
             return int(found[1])
         lines.append(line)
-    message = f"the limiter ended without listening: {''.join(lines)}"
+    message = f"the limiter exited without listening: {''.join(lines)}"
     raise AssertionError(message)
 
 
-def test_the_sample_configuration_is_valid_and_uses_loopback_addresses_only() -> None:
-    config = load_config({"RELAY_CONFIG": str(ROOT / SAMPLE)})
+def test_sample_configuration_is_valid_and_uses_only_loopback_addresses() -> None:
+    config = load_config({"RELAY_CONFIG": str(ROOT / SAMPLE_PATH)})
     assert config.name == "sample"
     assert config.listen_address[0] == "127.0.0.1"
     assert config.discovery_address[0] == "127.0.0.1"
@@ -62,15 +62,15 @@
     assert config.plan_names == ("unlimited", "standard")
 
 
-def test_the_readme_starts_the_limiter_with_the_sample_configuration() -> None:
+def test_readme_command_starts_the_limiter_with_the_sample_configuration() -> None:
     readme = (ROOT / "README.md").read_text(encoding="utf-8")
-    assert f"RELAY_CONFIG={SAMPLE} .venv/bin/python -m limiter\n" in readme
+    assert f"RELAY_CONFIG={SAMPLE_PATH} .venv/bin/python -m limiter\n" in readme
 
 
-def test_a_limiter_with_the_sample_configuration_listens_and_is_not_ready_without_servers() -> None:
-    # Other programs may use the ports of the sample. Port 0 lets the kernel choose a free one, and nothing
+def test_limiter_with_the_sample_configuration_listens_and_is_not_ready_without_servers() -> None:
+    # Other programs may use the sample's ports. With port 0, the kernel chooses a free port, and no process
     # listens on port 1.
-    with running_sample(RELAY_LISTEN="127.0.0.1:0", RELAY_DISCOVERY="127.0.0.1:1") as process:
+    with run_sample_limiter(RELAY_LISTEN="127.0.0.1:0", RELAY_DISCOVERY="127.0.0.1:1") as process:
         connection = http.client.HTTPConnection("127.0.0.1", read_port(process), timeout=WAIT_TIMEOUT_SECONDS)
         connection.request("GET", "/_health")
         response = connection.getresponse()
--- a/tests/transport/test_startup.py
+++ b/tests/transport/test_startup.py
@@ -1,4 +1,4 @@
-"""The start of a limiter while discovery's changes since the known list are still on their way."""
+"""Test that a limiter does not listen before it has the changes since its configured endpoint list."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 from tests.support.waiting import WAIT_TIMEOUT_SECONDS, wait_until
 
 
-def free_port() -> int:
-    """Return a port of loopback that nobody listens on."""
+def find_unused_port() -> int:
+    """Return a port of the loopback interface on which no process listens."""
     with socket.socket() as unused:
         unused.bind(("127.0.0.1", 0))
         return int(unused.getsockname()[1])
 
 
 async def send_once_listening(port: int, data: bytes) -> Response:
-    """Send a request on a connection of its own, as soon as the limiter accepts one."""
+    """Send a request on a new connection as soon as the limiter accepts connections."""
     while True:
         try:
             client = Connection(*await asyncio.open_connection("127.0.0.1", port))
             break
-        except ConnectionRefusedError:  # The limiter has not read discovery's response yet.
+        except ConnectionRefusedError:  # The limiter has not received the response of discovery yet.
             await asyncio.sleep(0.01)
     client.send(data)
     try:
@@ -41,9 +41,9 @@
         client.close()
 
 
-def configuration_between(listen_port: int, discovery: FakeDiscovery, known: list[FakeServer]) -> Config:
-    """Return the configuration of a limiter with this port, discovery and list of known servers."""
-    entries = [server.make_list_entry() for server in known]
+def make_config(listen_port: int, discovery: FakeDiscovery, configured_servers: list[FakeServer]) -> Config:
+    """Return the configuration of a limiter with this port, discovery and endpoint list."""
+    entries = [server.make_list_entry() for server in configured_servers]
     document = make_raw_config(
         listen=f"127.0.0.1:{listen_port}",
         discovery=discovery.address,
@@ -53,28 +53,32 @@
     return parse_config(document)
 
 
-async def test_listening_waits_for_what_changed_since_the_known_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No request goes to a server that drained while the limiter did not run."""
+async def test_limiter_does_not_listen_before_it_has_the_changes_since_the_configured_list(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Otherwise requests are sent to a server that started draining while the limiter was not running."""
     monkeypatch.setattr(startup, "DISCOVERY_WAIT_SECONDS", 10 * WAIT_TIMEOUT_SECONDS)
-    draining = FakeServer("s-0")
-    ready = FakeServer("s-1")
+    draining_server = FakeServer("s-0")
+    ready_server = FakeServer("s-1")
     discovery = FakeDiscovery()
-    for peer in (draining, ready, discovery):
+    for peer in (draining_server, ready_server, discovery):
         await peer.listen()
-    discovery.is_responding = False  # It accepts the limiter's call and holds its response back.
-    discovery.publish(draining.make_list_entry("leaving"), ready.make_list_entry(), full_list=True)
-    port = free_port()
-    limiter = asyncio.create_task(
-        startup.run_limiter(configuration_between(port, discovery, [draining, ready]))
+    discovery.is_responding = False  # It accepts the call but holds back its response.
+    discovery.publish(
+        draining_server.make_list_entry("leaving"), ready_server.make_list_entry(), full_list=True
     )
-    await wait_until(lambda: discovery.calls, "discovery is polled")
+    port = find_unused_port()
+    limiter_task = asyncio.create_task(
+        startup.run_limiter(make_config(port, discovery, [draining_server, ready_server]))
+    )
+    await wait_until(lambda: discovery.calls, "call to discovery")
     with pytest.raises(ConnectionRefusedError):
         await asyncio.open_connection("127.0.0.1", port)
     discovery.is_responding = True
-    await wait_until(lambda: discovery.response_times, "discovery has responded")
+    await wait_until(lambda: discovery.response_times, "response of discovery")
     for number in range(6):
         response = await send_once_listening(port, build_request("order", request_id=str(number)))
         assert response.body == b"from s-1"
-    assert draining.received_requests == []
+    assert draining_server.received_requests == []
     os.kill(os.getpid(), signal.SIGTERM)
-    await limiter
+    await limiter_task
