--- a/limiter/configuration/__init__.py
+++ b/limiter/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration file: reading, checking and reloading it."""
+"""Reads, validates and reloads the configuration file."""
--- a/limiter/configuration/addresses.py
+++ b/limiter/configuration/addresses.py
@@ -1,22 +1,22 @@
-"""Network addresses as configurations and endpoint lists state them: `host:port`."""
+"""Parses network addresses in the form `host:port`, which configurations and endpoint lists use."""
 
 from __future__ import annotations
 
 import ipaddress
 
-PORT_LIMIT = 65_536  # A port is a number below it: two bytes in the headers of TCP and UDP.
+PORT_LIMIT = 65_536  # Every port is below this number: TCP and UDP headers have two bytes for a port.
 
-Address = tuple[str, int]  # The literal IP address of a host, and a port.
+Address = tuple[str, int]  # The IP address of a host, as text, and a port.
 
 
 def parse_address(text: object) -> Address:
-    """Return the address that `host:port` states.
+    """Parse an address of the form `host:port`.
 
-    The host is a literal IP address, since there is no DNS where the limiter runs. An IPv6 address may stand
-    in brackets.
+    The host must be an IP address, since there is no DNS where the limiter runs. An IPv6 address may be
+    enclosed in brackets.
 
     Raises:
-        ValueError: the text is not `host:port`, or the host is not an IP address.
+        ValueError: The text does not have the form `host:port`, or the host is not an IP address.
     """
     if not isinstance(text, str):
         raise _malformed_address(text)
@@ -29,4 +29,4 @@
 
 
 def _malformed_address(text: object) -> ValueError:
-    return ValueError(f"{text!r} is not host:port")
+    return ValueError(f"{text!r} is not host:port with an IP address as host and a port below 65536")
--- a/limiter/configuration/config.py
+++ b/limiter/configuration/config.py
@@ -1,4 +1,4 @@
-"""The types of a checked configuration, and the error that names what is wrong with an unchecked one."""
+"""Types of a validated configuration, and the error for a configuration that is invalid."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from limiter.configuration.addresses import Address
 from limiter.model.settings import Settings
 
-# File descriptors kept for the event loop, the listening socket, discovery, the counter and connections that
-# are being closed.
+# File descriptors reserved for the event loop, the listening socket, discovery, the counter and connections
+# that are being closed.
 RESERVED_DESCRIPTORS = 24
 
 
 class ConfigError(Exception):
-    """A configuration cannot be used; the message names the key and says what is wrong with its value."""
+    """The configuration is invalid; the message names the key and says what is wrong with its value."""
 
     def __init__(self, key: str, problem: str) -> None:
-        """State the fault.
+        """Create the error for one key.
 
         Args:
             key: Path of a key in the file, or the name of an environment variable.
-            problem: What is wrong with the value, in one line.
+            problem: What is wrong with the value, and which values are accepted, in one line.
         """
         super().__init__(f"{key}: {problem}")
         self.key = key
@@ -29,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipConfig:
-    """Addresses of the gossip between limiters.
+    """Addresses that limiters use to send gossip to each other.
 
     Attributes:
-        listen_address: Address at which this limiter receives gossip.
-        limiter_addresses: Addresses of all limiters by their index, this one included.
-        broadcast_address: An address that reaches all of them at once; None where each has to be sent to.
+        listen_address: Address on which this limiter receives gossip.
+        limiter_addresses: Gossip addresses of all limiters, this one included, in the order of their indices.
+        broadcast_address: Address that delivers a message to all limiters; None if each must be sent its own.
     """
 
     listen_address: Address
@@ -44,25 +44,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that a limiter process is started with.
+    """The validated configuration of a limiter process.
 
     Attributes:
-        name: Name of the limiter in its log.
-        listen_address: Address at which clients connect.
+        name: Name of the limiter, which it writes to its log.
+        listen_address: Address on which the limiter accepts clients' connections.
         discovery_address: Address of the discovery agent.
-        counter_address: Address of the shared counter; None where the settings have none.
-        gossip: Addresses of the gossip; None where no gossip is sent.
-        seed: Seed of the random draws of the decisions.
-        max_descriptors: File descriptors that the limiter may use.
-        configured_endpoints: The endpoint list as last seen, in the JSON form of discovery, not yet checked;
-            None where the configuration has none.
-        settings: Settings of the decisions.
-        class_names: Names of the request classes by their index, as a request's headers state them.
-        plan_names: Names of the plans by their index, as a request's headers state them.
-        zone_names: Names of the zones by their number, as endpoint lists state them.
-        machine_type_names: Names of the kinds of machines by their number, as endpoint lists state them.
-        dial_timeout_ms: Milliseconds after which an attempt to connect has failed.
-        keepalive_ms: Milliseconds for which an idle connection to a server is kept.
+        counter_address: Address of the shared counter; None if the settings do not enable the counter.
+        gossip: Addresses for gossip between limiters; None if the limiter does not use gossip.
+        seed: Seed of the random number generator of the decision policy.
+        max_descriptors: Maximum number of file descriptors that the limiter may use.
+        configured_endpoints: The endpoint list that was known when the configuration was written, in the JSON
+            form of discovery and not yet validated; None if the configuration has none.
+        settings: Settings of the decision policy.
+        class_names: Names of the request classes, in the order of their indices; a request header names one.
+        plan_names: Names of the plans, in the order of their indices; a request header names one.
+        zone_names: Names of the zones, in the order of their numbers; endpoint lists contain the names.
+        machine_type_names: Names of the machine types, in the order of their numbers; endpoint lists contain
+            the names.
+        dial_timeout_ms: Milliseconds after which opening a connection fails.
+        keepalive_ms: Milliseconds for which servers keep an idle connection open.
     """
 
     name: str
@@ -82,5 +83,5 @@
     keepalive_ms: float
 
     def compute_descriptor_budget(self, fraction: float) -> int:
-        """Return how many descriptors a share, from 0 to 1, of the unreserved ones is; at least 1."""
+        """Return the given fraction, from 0 to 1, of the descriptors that are not reserved; at least 1."""
         return max(1, int((self.max_descriptors - RESERVED_DESCRIPTORS) * fraction))
--- a/limiter/configuration/config_loader.py
+++ b/limiter/configuration/config_loader.py
@@ -1,4 +1,4 @@
-"""Loads the configuration from the file that RELAY_CONFIG names and from environment variables."""
+"""Loads the configuration from environment variables and from the file at the path in RELAY_CONFIG."""
 
 from __future__ import annotations
 
@@ -10,34 +10,39 @@
 
 
 def load_config(environ: Mapping[str, str]) -> Config:
-    """Read the configuration at start; environment variables, where set, override keys of the file.
+    """Load the configuration when the process starts.
+
+    The environment variables RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY, unless unset or empty, override
+    the keys `name`, `listen` and `discovery` of the file.
 
     Raises:
-        ConfigError: the file cannot be read, or a key of it cannot be used.
+        ConfigError: The file cannot be read, or one of its keys is missing or invalid.
     """
     document = _read_document(environ)
-    _override(document, environ, ("name", "listen", "discovery"))
+    _apply_environment_overrides(document, environ, ("name", "listen", "discovery"))
     return parse_config(document)
 
 
 def reload_config(environ: Mapping[str, str]) -> Config:
-    """Read the configuration again while the process runs.
+    """Load the configuration again while the process runs.
 
-    Here `discovery` of the file overrides that of the environment, other than at start: the environment of a
-    running process can't be changed, so the file is the only way to move the limiter to another discovery.
+    Unlike at start, `discovery` in the file overrides RELAY_DISCOVERY: the environment of a running process
+    cannot be changed, so the file is the only way to move the limiter to another discovery agent.
 
     Raises:
-        ConfigError: the file cannot be read, or a key of it cannot be used.
+        ConfigError: The file cannot be read, or one of its keys is missing or invalid.
     """
     document = _read_document(environ)
-    _override(document, environ, ("name", "listen"))
+    _apply_environment_overrides(document, environ, ("name", "listen"))
     discovery = environ.get("RELAY_DISCOVERY")
     if discovery:
         document.setdefault("discovery", discovery)
     return parse_config(document)
 
 
-def _override(document: dict[str, object], environ: Mapping[str, str], keys: Iterable[str]) -> None:
+def _apply_environment_overrides(
+    document: dict[str, object], environ: Mapping[str, str], keys: Iterable[str]
+) -> None:
     for key in keys:
         value = environ.get(f"RELAY_{key.upper()}")
         if value:
@@ -47,12 +52,14 @@
 def _read_document(environ: Mapping[str, str]) -> dict[str, object]:
     path = environ.get("RELAY_CONFIG")
     if not path:
-        raise ConfigError(key="RELAY_CONFIG", problem="not set")
+        raise ConfigError(
+            key="RELAY_CONFIG", problem="not set; it must be the path of the configuration file"
+        )
     try:
         with open(path, encoding="utf-8") as file:
             document = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(key="RELAY_CONFIG", problem=str(error)) from error
     if not isinstance(document, dict):
-        raise ConfigError(key="RELAY_CONFIG", problem="not a JSON object")
+        raise ConfigError(key="RELAY_CONFIG", problem="the configuration file must contain a JSON object")
     return document
--- a/limiter/configuration/settings_json.py
+++ b/limiter/configuration/settings_json.py
@@ -1,7 +1,7 @@
-"""Adapter of the JSON form of settings: nested objects and lists become a mapping of dotted paths to values.
+"""Flattens the JSON form of settings, nested objects and lists, to a mapping from dotted paths to values.
 
-For example, `{"limits": {"maxAttempts": 4}}` has the value 4 under the path `limits.maxAttempts`. A list of
-objects has its length under `PATH.count` and its objects under `PATH.0`, `PATH.1` and so on.
+For example, `{"limits": {"maxAttempts": 4}}` has the value 4 at the path `limits.maxAttempts`. The length of
+a list of objects is at `PATH.count`, and the objects are at `PATH.0`, `PATH.1` and so on.
 """
 
 from __future__ import annotations
@@ -13,34 +13,35 @@
 
 
 def flatten_settings(document: Mapping[str, object]) -> dict[str, SettingValue]:
-    """Return the values of nested settings by their paths; a null counts as absent.
+    """Return a mapping from the paths of nested settings to their values; a null value counts as absent.
 
     Raises:
-        UnicodeError: a text holds half a surrogate pair, which JSON can state and UTF-8 can't.
-        RecursionError: the settings are nested too deep.
+        UnicodeError: A string contains half a surrogate pair, which JSON can represent and UTF-8 cannot.
+        RecursionError: The settings are nested too deeply.
     """
-    pairs = list(_walk(document, ""))
+    pairs = list(_iterate_leaves(document, ""))
     _check_encodable(pairs)
     values: dict[str, SettingValue] = {}
     for path, value in pairs:
         if "=" in path or path.splitlines() != [path]:
-            # The text form can't state such a path. It is read as the line or lines that it would make.
+            # The text form cannot represent such a path. It is formatted as text, and the resulting line or
+            # lines are parsed.
             values.update(parse_settings_lines(f"{path}={format_value(value)}"))
         else:
             values[path.strip()] = value
     return values
 
 
-def _walk(node: object, path: str) -> Iterator[tuple[str, SettingValue]]:
-    """Yield the path and value of each leaf below a node of the document, in the document's order."""
+def _iterate_leaves(node: object, path: str) -> Iterator[tuple[str, SettingValue]]:
+    """Yield the path and value of each leaf below a node, in the order of the document."""
     match node:
         case dict():
             for key, item in node.items():
-                yield from _walk(item, f"{path}.{key}" if path else str(key))
+                yield from _iterate_leaves(item, f"{path}.{key}" if path else str(key))
         case [dict(), *_]:
             yield f"{path}.count", len(node)
             for index, item in enumerate(node):
-                yield from _walk(item, f"{path}.{index}")
+                yield from _iterate_leaves(item, f"{path}.{index}")
         case list():
             yield path, ",".join(format_value(_to_value(item)) for item in node)
         case None:
@@ -50,18 +51,18 @@
 
 
 def _to_value(leaf: object) -> SettingValue:
-    """Return the value that a leaf of the document stands for."""
+    """Convert a leaf of the document to the value of a setting."""
     match leaf:
         case bool() | int():
             return leaf
         case float():
-            # JSON doesn't tell integers from floats: 6.0 is accepted where an integer is read.
+            # JSON does not distinguish integers from floats: 6.0 is accepted where an integer is required.
             return int(leaf) if leaf.is_integer() else leaf
         case _:
-            # A comma separates the entries of a list and blanks end a word, so neither may be in a text.
+            # A comma separates the entries of a list and a blank ends a word, so a text must contain neither.
             return "_".join(str(leaf).replace(",", " ").split())
 
 
 def _check_encodable(pairs: list[tuple[str, SettingValue]]) -> None:
-    """Raise UnicodeError, with the position in the settings as lines, unless UTF-8 can encode them."""
+    """Raise UnicodeError, with the position in the text form, unless UTF-8 can encode the settings."""
     "\n".join(f"{path}={format_value(value)}" for path, value in pairs).encode()
--- a/limiter/configuration/settings_reader.py
+++ b/limiter/configuration/settings_reader.py
@@ -1,8 +1,8 @@
-"""Reads settings from a mapping of paths to values, whichever form they were written in.
+"""Reads settings from a mapping of paths to values, whether they were written as text or as JSON.
 
-The simulator's text (`limiter.codecs.settings_text`) and the JSON of a configuration file
-(`limiter.configuration.settings_json`) both become such a mapping. Its paths are dotted: `classes.0.deadline`
-is the deadline of the first request class, and `classes.count` the number of classes.
+The text of the simulator (`limiter.codecs.settings_text`) and the JSON of a configuration file
+(`limiter.configuration.settings_json`) are both converted to such a mapping. The paths are dotted:
+`classes.0.deadline` is the deadline of the first request class, and `classes.count` is the number of classes.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from limiter.model.events import LoadMetric
 from limiter.model.settings import DedupScope, Idempotency, QuotaPlan, RequestClass, Settings, SettingsError
 
-# A value as its form states it. The text form has only `str`, JSON has all four.
+# A value of a setting. The text form has only values of type `str`, JSON has all four types.
 SettingValue = bool | int | float | str
 _Value = TypeVar("_Value")
 
@@ -27,6 +27,7 @@
     "rate": LoadMetric.THROUGHPUT,
     "fail_rate": LoadMetric.ERROR_RATE,
 }
+# The message of an invalid value (`SettingsReader._read`) lists the words of the three mappings below.
 IDEMPOTENCY = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.IDEMPOTENCY_KEY,
@@ -37,7 +38,7 @@
 
 
 def format_value(value: SettingValue) -> str:
-    """Return a value as the text form of settings writes it, which is also how messages quote it."""
+    """Format a value as in the text form of settings; error messages quote values in this form too."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value)
@@ -46,44 +47,52 @@
 class SettingsReader:
     """Reads single settings by path.
 
-    Each `read_` method takes a path and the value to use where the setting is absent; without such a default
-    the setting is required. A missing or malformed value raises SettingsError, which names the path.
+    Each `read_` method takes a path and the default for an absent setting; without a default the setting is
+    required. A missing or invalid value raises SettingsError, which names the path.
     """
 
     def __init__(self, values: Mapping[str, SettingValue]) -> None:
-        """Read from `values`, the settings by their paths."""
+        """Create a reader of `values`, a mapping from the paths of the settings to their values."""
         self._values = values
 
     def read_number(self, path: str, default: float | None = None) -> float:
-        """Return a number; a text is one if `float` accepts it."""
+        """Return a number; a string is accepted if `float` accepts it."""
         return self._read(path, _to_float, default)
 
     def read_integer(self, path: str, default: int | None = None) -> int:
-        """Return an integer; a text is one if `int` accepts it."""
+        """Return an integer; a string is accepted if `int` accepts it."""
         return self._read(path, _to_integer, default)
 
     def read_flag(self, path: str, default: bool | None = None) -> bool:
-        """Return whether a setting is true; as text it is `true` or `false`."""
+        """Return the boolean value of a setting, which is `true` or `false` in the text form."""
         return self.read_choice(path, FLAGS, default)
 
     def read_text(self, path: str, default: str | None = None) -> str:
-        """Return a value as text."""
+        """Return a value formatted as in the text form."""
         return self._read(path, format_value, default)
 
     def read_choice(self, path: str, choices: Mapping[str, _Value], default: _Value | None = None) -> _Value:
-        """Return the entry of `choices` under a setting's text; a text without an entry is malformed."""
+        """Return the entry of `choices` whose key is the text of the setting; other texts are invalid."""
         return self._read(path, lambda value: choices[format_value(value)], default)
 
     def _read(self, path: str, convert: Callable[[SettingValue], _Value], default: _Value | None) -> _Value:
         value = self._values.get(path)
         if value is None:
             if default is None:
-                raise SettingsError(path, "missing")
+                raise SettingsError(
+                    path,
+                    "missing, but required (for a key NAME.count, the list NAME must not be empty)",
+                )
             return default
         try:
             return convert(value)
         except (TypeError, ValueError, KeyError) as error:
-            raise SettingsError(path, f"{format_value(value)!r} makes no sense") from error
+            raise SettingsError(
+                path,
+                f"{format_value(value)!r} is invalid: effect accepts repeatable, by_key or once; "
+                "group accepts all, zone or cell; flags accept true or false; "
+                "counts and indices accept integers; other keys accept numbers",
+            ) from error
 
 
 def _to_float(value: SettingValue) -> float:
@@ -91,7 +100,7 @@
         raise TypeError
     try:
         return float(value)
-    except OverflowError:  # An integer beyond the range of floats, which the text form reads as infinite.
+    except OverflowError:  # The integer exceeds the range of floats; as text, `float` reads it as infinite.
         return math.inf if int(value) > 0 else -math.inf
 
 
@@ -105,7 +114,7 @@
     """Return the settings of one limiter, not yet validated.
 
     Raises:
-        SettingsError: a required setting is missing, or a value cannot be read. Where several settings are
+        SettingsError: A required setting is missing, or a value cannot be converted. If several settings are
             wrong, the error names the one that is read first.
     """
     request_classes = _read_request_classes(reader)
@@ -128,12 +137,12 @@
         polls_discovery=reader.read_text("discovery", "pushed") == "on_request",
         poll_interval=reader.read_number("rules.askEvery", 10000.0),
     )
-    settings = _with_unit_accounting(settings, reader)
-    return _with_slow_start(settings, reader)
+    settings = _add_unit_accounting_settings(settings, reader)
+    return _add_slow_start_settings(settings, reader)
 
 
-def _with_unit_accounting(settings: Settings, reader: SettingsReader) -> Settings:
-    """Return the settings with those of the counter, the meter and post-paid units."""
+def _add_unit_accounting_settings(settings: Settings, reader: SettingsReader) -> Settings:
+    """Return a copy with the settings of the counter, of the meter and of units billed after the response."""
     return replace(
         settings,
         counter_timeout=reader.read_number("extra.countLimit", 50.0),
@@ -143,8 +152,8 @@
     )
 
 
-def _with_slow_start(settings: Settings, reader: SettingsReader) -> Settings:
-    """Return the settings with those of servers in slow start."""
+def _add_slow_start_settings(settings: Settings, reader: SettingsReader) -> Settings:
+    """Return a copy with the settings of slow start."""
     return replace(
         settings,
         slow_start_capacity=reader.read_number("rules.startCapacity", 1.0),
@@ -155,7 +164,7 @@
 
 
 def read_load_report_metrics(reader: SettingsReader) -> tuple[LoadMetric | None, ...]:
-    """Return the metrics of a load report in order; None stands for one that is unknown here."""
+    """Return the metrics of a load report, in its order; None marks an unknown metric."""
     names = reader.read_text("report.fields", "")
     if not names:
         return ()
--- a/tests/configuration/test_settings_forms.py
+++ b/tests/configuration/test_settings_forms.py
@@ -64,18 +64,72 @@
 @pytest.mark.parametrize(
     ("changes", "message"),
     [
-        ({"me": True}, "me: 'true' makes no sense"),
-        ({"me": 0.5}, "me: '0.5' makes no sense"),
-        ({"me": "a, b"}, "me: 'a_b' makes no sense"),
-        ({"me": [1, 2.0]}, "me: '1,2' makes no sense"),
-        ({"me": []}, "me: '' makes no sense"),
-        ({"me": [[1]]}, "me: '[1]' makes no sense"),
-        ({"me": None}, "me: missing"),
-        ({"me": {}}, "me: missing"),
-        ({"extra": {"mayCount": 1}}, "extra.mayCount: '1' makes no sense"),
-        ({"extra": {"maxUnits": False}}, "extra.maxUnits: 'false' makes no sense"),
-        ({"contracts": []}, "contracts.count: missing"),
-        ({"classes": [{"aim": 1, "deadline": "late"}]}, "classes.0.deadline: 'late' makes no sense"),
+        (
+            {"me": True},
+            "me: 'true' is invalid: effect accepts repeatable, by_key or once; "
+            "group accepts all, zone or cell; flags accept true or false; "
+            "counts and indices accept integers; other keys accept numbers",
+        ),
+        (
+            {"me": 0.5},
+            "me: '0.5' is invalid: effect accepts repeatable, by_key or once; "
+            "group accepts all, zone or cell; flags accept true or false; "
+            "counts and indices accept integers; other keys accept numbers",
+        ),
+        (
+            {"me": "a, b"},
+            "me: 'a_b' is invalid: effect accepts repeatable, by_key or once; "
+            "group accepts all, zone or cell; flags accept true or false; "
+            "counts and indices accept integers; other keys accept numbers",
+        ),
+        (
+            {"me": [1, 2.0]},
+            "me: '1,2' is invalid: effect accepts repeatable, by_key or once; "
+            "group accepts all, zone or cell; flags accept true or false; "
+            "counts and indices accept integers; other keys accept numbers",
+        ),
+        (
+            {"me": []},
+            "me: '' is invalid: effect accepts repeatable, by_key or once; "
+            "group accepts all, zone or cell; flags accept true or false; "
+            "counts and indices accept integers; other keys accept numbers",
+        ),
+        (
+            {"me": [[1]]},
+            "me: '[1]' is invalid: effect accepts repeatable, by_key or once; "
+            "group accepts all, zone or cell; flags accept true or false; "
+            "counts and indices accept integers; other keys accept numbers",
+        ),
+        (
+            {"me": None},
+            "me: missing, but required (for a key NAME.count, the list NAME must not be empty)",
+        ),
+        (
+            {"me": {}},
+            "me: missing, but required (for a key NAME.count, the list NAME must not be empty)",
+        ),
+        (
+            {"extra": {"mayCount": 1}},
+            "extra.mayCount: '1' is invalid: effect accepts repeatable, by_key or once; "
+            "group accepts all, zone or cell; flags accept true or false; "
+            "counts and indices accept integers; other keys accept numbers",
+        ),
+        (
+            {"extra": {"maxUnits": False}},
+            "extra.maxUnits: 'false' is invalid: effect accepts repeatable, by_key or once; "
+            "group accepts all, zone or cell; flags accept true or false; "
+            "counts and indices accept integers; other keys accept numbers",
+        ),
+        (
+            {"contracts": []},
+            "contracts.count: missing, but required (for a key NAME.count, the list NAME must not be empty)",
+        ),
+        (
+            {"classes": [{"aim": 1, "deadline": "late"}]},
+            "classes.0.deadline: 'late' is invalid: effect accepts repeatable, by_key or once; "
+            "group accepts all, zone or cell; flags accept true or false; "
+            "counts and indices accept integers; other keys accept numbers",
+        ),
     ],
 )
 def test_a_senseless_json_value_is_named_in_the_text_forms_words(
