--- a/limiter/__main__.py
+++ b/limiter/__main__.py
@@ -1,4 +1,4 @@
-"""The limiter as a program: reads the configuration and serves until SIGTERM or SIGINT."""
+"""The limiter program: loads the configuration and serves clients until SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 
 def main() -> int:
     """Run the program; return its exit code."""
-    # SIGHUP would end the process until there is something to reload.
+    # By default, SIGHUP ends the process. It is ignored until the handler that reloads the configuration is
+    # installed.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
--- a/limiter/process/__init__.py
+++ b/limiter/process/__init__.py
@@ -1,1 +1,1 @@
-"""The limiter as a process: start, reload of the configuration, graceful shutdown."""
+"""The limiter process: startup, reload of the configuration, graceful shutdown."""
--- a/limiter/process/reload.py
+++ b/limiter/process/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration on SIGHUP: discovery and the counter may have new addresses."""
+"""Reloads the configuration on SIGHUP, to apply new addresses of discovery and the counter."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def reload_configuration(proxy: Proxy) -> None:
-    """Read the configuration file again and go to the discovery and the counter that it names now.
+    """Reload the configuration file and switch to the addresses of discovery and the counter in it.
 
-    A file that is half written or has an error is logged, and the present configuration is kept: it must not
-    stop the service.
+    If the file is incomplete or invalid, the error is logged and the current configuration is kept, since an
+    error in the file must not stop the service.
     """
     try:
         config = reload_config(os.environ)
--- a/limiter/process/startup.py
+++ b/limiter/process/startup.py
@@ -1,4 +1,4 @@
-"""Start of the limiter process: opens its sockets, catches up with discovery, then listens."""
+"""Starts the limiter process: opens its sockets, waits for an endpoint list from discovery, then listens."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from limiter.transport.clock import Clock
 from limiter.transport.driver.proxy import Proxy
 
-# Longest wait for discovery's first response. After that the endpoint list of the configuration has to do: a
-# limiter that serves by an old list is better than none while discovery is down.
+# Maximum wait for the first response of discovery. After that the limiter serves with the endpoint list of
+# the configuration: while discovery is down, a limiter with an outdated list is better than none.
 DISCOVERY_WAIT_SECONDS = 1.0
 
 log = logging.getLogger("limiter")
@@ -27,8 +27,8 @@
     """Serve clients until SIGTERM or SIGINT.
 
     Raises:
-        ConfigError: The configured endpoint list cannot be read.
-        OSError: An address cannot be bound.
+        ConfigError: The endpoint list in the configuration is invalid.
+        OSError: The limiter cannot bind an address.
     """
     loop = asyncio.get_running_loop()
     clock = Clock()
@@ -40,8 +40,8 @@
         loop.add_signal_handler(signal.SIGHUP, reload_configuration, proxy)
         proxy.discovery.start()
         _exclude_from_garbage_collection()
-        # Servers may have drained while this process did not run, so no request is accepted before discovery
-        # has responded.
+        # Servers may have started draining while this process did not run, so it accepts no request before
+        # discovery has responded or DISCOVERY_WAIT_SECONDS have passed.
         await _wait_for_any(DISCOVERY_WAIT_SECONDS, proxy.discovery.first_list_received, stop_requested)
         listener = Listener(config, proxy, clock)
         host, port = listener.socket.getsockname()[:2]
@@ -50,28 +50,35 @@
         await shut_down_gracefully(listener, proxy)
 
 
-def raise_descriptor_limit(wanted: int) -> int:
-    """Raise the process's soft limit of file descriptors; return how many the process may plan with.
+def raise_descriptor_limit(configured_descriptors: int) -> int:
+    """Raise the soft limit on file descriptors to the configured number, but not above the hard limit.
 
     Args:
-        wanted: Descriptors that the configuration grants. The hard limit of the system may allow fewer.
+        configured_descriptors: Number of descriptors that the configuration allows.
+
+    Returns:
+        Number of descriptors that the process may use.
     """
     soft_limit, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
-    granted = wanted if hard_limit == resource.RLIM_INFINITY else min(wanted, hard_limit)
-    if soft_limit != resource.RLIM_INFINITY and soft_limit < granted:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (granted, hard_limit))
-    return granted
+    usable_descriptors = (
+        configured_descriptors
+        if hard_limit == resource.RLIM_INFINITY
+        else min(configured_descriptors, hard_limit)
+    )
+    if soft_limit != resource.RLIM_INFINITY and soft_limit < usable_descriptors:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (usable_descriptors, hard_limit))
+    return usable_descriptors
 
 
 def _exclude_from_garbage_collection() -> None:
-    """Exclude what exists now from later collections: it lives as long as the process."""
+    """Exclude all existing objects from later collections, since they live as long as the process."""
     gc.collect()
     gc.freeze()
 
 
 async def _wait_for_any(timeout_seconds: float, *events: asyncio.Event) -> None:
-    """Wait until one of the events is set, or the time is up."""
-    waits = [asyncio.ensure_future(event.wait()) for event in events]
-    await asyncio.wait(waits, timeout=timeout_seconds, return_when=asyncio.FIRST_COMPLETED)
-    for wait in waits:
-        wait.cancel()
+    """Wait until one of the events is set or the timeout expires."""
+    wait_tasks = [asyncio.ensure_future(event.wait()) for event in events]
+    await asyncio.wait(wait_tasks, timeout=timeout_seconds, return_when=asyncio.FIRST_COMPLETED)
+    for wait_task in wait_tasks:
+        wait_task.cancel()
