--- a/limiter/codecs/__init__.py
+++ b/limiter/codecs/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs of the formats that several packages share: gossip datagrams and settings."""
+"""Codecs of formats that several packages use: gossip datagrams and the text form of settings."""
--- a/limiter/codecs/gossip_messages.py
+++ b/limiter/codecs/gossip_messages.py
@@ -1,22 +1,23 @@
-"""Codec of the datagrams between limiters. All numbers are big-endian.
+"""Codec of the gossip datagrams between limiters. All numbers are big-endian.
 
-A usage message states how many units its sender has forwarded, by customer. It is a header and groups of
-entries, one group for each plan, to the end of the datagram:
+A usage message contains the number of units that its sender has forwarded, by customer. It consists of a
+header and, up to the end of the datagram, one group of entries for each plan:
 
     | part         | bytes | content                                                        |
     | ------------ | ----- | -------------------------------------------------------------- |
-    | header       | 1     | attempts in flight at the sender, 255 at most                  |
-    |              | 2     | their mean latency in ms, 65,535 at most                       |
+    | header       | 1     | attempts in flight at the sender, at most 255                  |
+    |              | 2     | their mean latency in ms, at most 65,535                       |
     | group header | 1     | index of the plan                                              |
     |              | 1     | number of entries in the group                                 |
     | entry        | 5     | customer in the 33 high bits, units in the 7 low bits          |
 
-An endpoint report states which servers discovery has reported as draining or removed. Its prefix reads as a
-usage message with a group of plan 255. No plan has that number, so versions that know no reports ignore it:
+An endpoint report lists the servers that discovery has reported to its sender as draining or removed. Its
+prefix decodes as a usage message with a group for plan 255. No plan has that index, so versions that do not
+support endpoint reports ignore the datagram:
 
     | part         | bytes | content                                                        |
     | ------------ | ----- | -------------------------------------------------------------- |
-    | prefix       | 4     | `REPORT_PREFIX`                                                |
+    | prefix       | 4     | `ENDPOINT_REPORT_PREFIX`                                       |
     | poll flag    | 1     | 1 if the sender has just polled discovery, else 0              |
     | endpoint id  | 1     | length of the id                                               |
     |              | 1-250 | the id; lengths and ids repeat to the end of the datagram      |
@@ -30,23 +31,23 @@
 
 from limiter.model.events import EndpointId
 
-MAX_MESSAGE_BYTES = 256  # The operators' limit on a datagram between limiters.
+MAX_MESSAGE_BYTES = 256  # The platform's operators limit datagrams between limiters to this size.
 HEADER = struct.Struct(">BH")
 GROUP_HEADER = struct.Struct(">BB")
-MAX_ATTEMPTS_IN_FLIGHT = 255  # The header states attempts in flight in one byte.
-MAX_LATENCY_MS = 65_535  # The header states their latency in two bytes.
-MAX_PLAN_INDEX = 255  # A group header states the index of its plan in one byte.
+MAX_ATTEMPTS_IN_FLIGHT = 255  # The header has one byte for the attempts in flight.
+MAX_LATENCY_MS = 65_535  # The header has two bytes for their latency.
+MAX_PLAN_INDEX = 255  # A group header has one byte for the index of its plan.
 ENTRY_BYTES = 5
-UNIT_BITS = 7  # The low bits of an entry state its units, the other bits its customer.
+UNIT_BITS = 7  # The low bits of an entry contain its units, the other bits its customer.
 MAX_ENTRY_UNITS = 2**UNIT_BITS - 1
-CUSTOMER_LIMIT = 2 ** (8 * ENTRY_BYTES - UNIT_BITS)
+CUSTOMER_LIMIT = 2 ** (8 * ENTRY_BYTES - UNIT_BITS)  # Every customer in an entry is below this number.
 ENDPOINT_REPORT_PREFIX = b"\x00\x00\x00\xff"
 _POLL_FLAG_OFFSET = len(ENDPOINT_REPORT_PREFIX)
 _IDS_OFFSET = _POLL_FLAG_OFFSET + 1
 
 
 class UsageEntry(NamedTuple):
-    """Units that a limiter has forwarded for a customer of a plan."""
+    """Number of units that a limiter has forwarded for a customer of a plan."""
 
     plan: int
     customer: int
@@ -54,12 +55,12 @@
 
 
 class UsageMessage(NamedTuple):
-    """A limiter's load and the usage of customers through it.
+    """The load of a limiter, and the units that it has forwarded, by customer.
 
     Attributes:
         attempts_in_flight: Attempts in flight at the sender.
         mean_latency_ms: Their mean latency in milliseconds.
-        entries: Usage of customers, in the order of the message.
+        entries: Units by plan and customer, in the order of the message.
     """
 
     attempts_in_flight: int
@@ -68,45 +69,47 @@
 
 
 class UsageMessageEncoder:
-    """Collects the entries of one usage message until it is full.
+    """Encodes one usage message, to which entries are added until it is full.
 
     Attributes:
-        is_full: Whether an entry didn't fit any more.
+        is_full: Whether an entry was omitted because it did not fit into the message.
     """
 
-    def __init__(self, in_flight: int, latency_ms: float) -> None:
-        """Start a message without entries.
+    def __init__(self, attempts_in_flight: int, mean_latency_ms: float) -> None:
+        """Create a message without entries.
 
         Args:
-            in_flight: Number of attempts in flight at the sender.
-            latency_ms: Mean latency of the sender's attempts in milliseconds.
+            attempts_in_flight: Number of attempts in flight at the sender.
+            mean_latency_ms: Mean latency of the sender's attempts in milliseconds.
         """
-        stated_latency_ms = min(MAX_LATENCY_MS, round(latency_ms))
-        self._body = bytearray(HEADER.pack(min(in_flight, MAX_ATTEMPTS_IN_FLIGHT), stated_latency_ms))
+        encoded_latency_ms = min(MAX_LATENCY_MS, round(mean_latency_ms))
+        self._body = bytearray(
+            HEADER.pack(min(attempts_in_flight, MAX_ATTEMPTS_IN_FLIGHT), encoded_latency_ms)
+        )
         self._groups: dict[int, list[bytes]] = {}
-        self._size = HEADER.size
+        self._byte_count = HEADER.size
         self.is_full = False
 
     def add_entry(self, plan: int, customer: int, units: int) -> int:
-        """Write an entry and return how many of its units it states.
+        """Add an entry with as many of the units as it can contain.
 
         Returns:
-            The units written, at most `MAX_ENTRY_UNITS`. It is 0 if nothing was written, because there are no
-            units, the plan or customer is too large for an entry, or the message is full.
+            The number of units in the entry, at most `MAX_ENTRY_UNITS`. It is 0 if no entry was added because
+            there are no units, the plan or customer is too large for an entry, or the message is full.
         """
-        written: int = min(MAX_ENTRY_UNITS, units)
-        if written < 1 or plan > MAX_PLAN_INDEX or customer >= CUSTOMER_LIMIT:
+        encoded_units: int = min(MAX_ENTRY_UNITS, units)
+        if encoded_units < 1 or plan > MAX_PLAN_INDEX or customer >= CUSTOMER_LIMIT:
             return 0
-        self._size += ENTRY_BYTES + (0 if plan in self._groups else GROUP_HEADER.size)
-        if self._size > MAX_MESSAGE_BYTES:
+        self._byte_count += ENTRY_BYTES + (0 if plan in self._groups else GROUP_HEADER.size)
+        if self._byte_count > MAX_MESSAGE_BYTES:
             self.is_full = True
             return 0
-        entry = customer << UNIT_BITS | written
+        entry = customer << UNIT_BITS | encoded_units
         self._groups.setdefault(plan, []).append(entry.to_bytes(ENTRY_BYTES))
-        return written
+        return encoded_units
 
     def encode(self) -> bytes:
-        """Return the encoded message. Call it once, after the last entry."""
+        """Return the encoded message. Must be called only once, after the last entry has been added."""
         for plan, entries in self._groups.items():
             self._body += GROUP_HEADER.pack(plan, len(entries))
             self._body += b"".join(entries)
@@ -114,7 +117,7 @@
 
 
 def decode_usage_message(body: bytes, plan_count: int) -> UsageMessage | None:
-    """Decode a usage message; return None if it is malformed or names a plan that doesn't exist."""
+    """Decode a usage message; return None if it is malformed or contains a plan that does not exist."""
     entries: list[UsageEntry] = []
     offset = HEADER.size
     if len(body) < offset:
@@ -124,15 +127,15 @@
             return None
         plan, count = GROUP_HEADER.unpack_from(body, offset)
         offset += GROUP_HEADER.size
-        end = offset + count * ENTRY_BYTES
-        if plan >= plan_count or count == 0 or end > len(body):
+        group_end = offset + count * ENTRY_BYTES
+        if plan >= plan_count or count == 0 or group_end > len(body):
             return None
-        for start in range(offset, end, ENTRY_BYTES):
+        for start in range(offset, group_end, ENTRY_BYTES):
             entry = int.from_bytes(body[start : start + ENTRY_BYTES])
             entries.append(UsageEntry(plan, entry >> UNIT_BITS, float(entry & MAX_ENTRY_UNITS)))
-        offset = end
-    in_flight, latency_ms = HEADER.unpack_from(body)
-    return UsageMessage(in_flight, latency_ms, entries)
+        offset = group_end
+    attempts_in_flight, mean_latency_ms = HEADER.unpack_from(body)
+    return UsageMessage(attempts_in_flight, mean_latency_ms, entries)
 
 
 class EndpointReport(NamedTuple):
@@ -140,7 +143,7 @@
 
     Attributes:
         has_polled: Whether the sender has just polled discovery.
-        endpoint_ids: The servers' ids.
+        endpoint_ids: Ids of these servers.
     """
 
     has_polled: bool
@@ -148,10 +151,10 @@
 
 
 class EncodedEndpointReport(NamedTuple):
-    """An endpoint report as it is sent.
+    """An encoded endpoint report.
 
     Attributes:
-        body: The message.
+        body: The encoded message.
         processed_ids: Ids that need no further message: those in this one, and those too long for any
             message.
     """
@@ -161,33 +164,33 @@
 
 
 def encode_endpoint_report(has_polled: bool, endpoint_ids: Iterable[EndpointId]) -> EncodedEndpointReport:
-    """Encode one endpoint report with as many of the ids as fit.
+    """Encode one endpoint report with as many of the ids as fit into a message.
 
     Args:
         has_polled: Whether the sender has just polled discovery.
-        endpoint_ids: Ids of servers that are draining or removed, the first to be sent first.
+        endpoint_ids: Ids of servers that are draining or removed, in the order in which to send them.
     """
     body = bytearray(ENDPOINT_REPORT_PREFIX)
     body.append(has_polled)
-    done_ids = []
+    processed_ids = []
     for endpoint_id in endpoint_ids:
         fits = len(body) + 1 + len(endpoint_id) <= MAX_MESSAGE_BYTES
         if not fits and len(body) > _IDS_OFFSET:
-            break  # This id and those after it are left for the next message.
+            break  # This id and the following ones go into the next message.
         if fits:
             body.append(len(endpoint_id))
             body += endpoint_id
-        done_ids.append(endpoint_id)
-    return EncodedEndpointReport(bytes(body), done_ids)
+        processed_ids.append(endpoint_id)
+    return EncodedEndpointReport(bytes(body), processed_ids)
 
 
 def is_endpoint_report(body: bytes) -> bool:
-    """Return whether a message is an endpoint report, well-formed or not."""
+    """Return whether a message has the prefix of an endpoint report; the rest may be malformed."""
     return body.startswith(ENDPOINT_REPORT_PREFIX)
 
 
 def decode_endpoint_report(body: bytes) -> EndpointReport | None:
-    """Decode an endpoint report; return None if an id of it is empty or cut short."""
+    """Decode an endpoint report; return None if one of its ids is empty or truncated."""
     endpoint_ids = []
     offset = _IDS_OFFSET
     while offset < len(body):
