--- a/limiter/simulator/__init__.py
+++ b/limiter/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire, and the adapter that hosts simulated limiters on it."""
+"""The wire protocol of the simulator, and the adapter through which it runs simulated limiters."""
--- a/limiter/simulator/action_encoder.py
+++ b/limiter/simulator/action_encoder.py
@@ -1,6 +1,7 @@
-"""Encodes the actions of the decision policy as records of a reply.
+"""Encodes the actions of the decision policy as records of a reply to the simulator.
 
-A record is a one-byte code, the number of the instance that acts, and the fields of that code.
+A record consists of a one-byte code, the number of the instance that takes the action, and the fields that
+belong to the code.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
     SetTimer,
 )
 
-# Codes of actions, with their names on the wire.
+# Codes of actions. The comments give their names in the wire protocol.
 CANCEL_ATTEMPT: Final = 80  # STOP_ATTEMPT
 FAIL_REQUEST: Final = 81  # ABORT
 REJECT_REQUEST: Final = 82  # TURN_AWAY
@@ -34,11 +35,12 @@
 SEND_ATTEMPT: Final = 90  # FORWARD
 POLL_DISCOVERY: Final = 92  # SUBSCRIBE
 
-ALL_PEERS: Final = 0xFFFF  # The receiver of a message that goes to all other instances.
+ALL_PEERS: Final = 0xFFFF  # The receiver number of a message to all other instances.
 SUBSCRIPTION_ON: Final = 1
 MAX_LOG_MESSAGE_BYTES: Final = 0xFFFF  # The length field has two bytes.
 
-# The fields of each record from its code on; a layout that ends with a length is followed by so many bytes.
+# Layouts of the records, including the code; the comments give the wire protocol's names of the fields. A
+# layout that ends with a length is followed by that number of bytes.
 _CANCEL_ATTEMPT = struct.Struct(">BHIB")  # limiter, requestId, seqNo
 _FAIL_REQUEST = struct.Struct(">BHI")  # limiter, requestId
 _REJECT_REQUEST = struct.Struct(">BHId")  # limiter, requestId, comeBack
@@ -52,7 +54,7 @@
 
 
 def encode_action(instance: int, action: Action) -> bytes:  # noqa: C901, PLR0911 - one case for each action
-    """Encode an action of the instance with this number, the most frequent kinds first."""
+    """Encode an action of the instance with this number; the most frequent types are tested first."""
     match action:
         case SendAttempt():
             return _encode_send_attempt(instance, action)
--- a/limiter/simulator/adapter.py
+++ b/limiter/simulator/adapter.py
@@ -1,9 +1,9 @@
-"""Adapter that connects the simulator's wire to one policy engine for each simulated limiter.
+"""Adapter between the wire protocol of the simulator and the policy engines of the simulated limiters.
 
-It translates and decides nothing.
+Each simulated limiter has its own policy engine. The adapter only translates records; it makes no decisions.
 
-Run as `python -m limiter.simulator.adapter`; reads batches on standard input and writes replies on
-standard output.
+Run as `python -m limiter.simulator.adapter`; reads batches from standard input and writes replies to standard
+output.
 """
 
 from __future__ import annotations
@@ -24,31 +24,31 @@
 
 
 class SimulatedLimiter:
-    """One simulated limiter: its policy engine, and the order of the values in its load reports."""
+    """One simulated limiter: its policy engine, and the metrics in its load reports, in their order."""
 
-    __slots__ = ("_load_fields", "engine")
+    __slots__ = ("_load_report_metrics", "engine")
 
     def __init__(self, opened: InstanceOpened) -> None:
-        """Start the engine with the settings and the seed of the record.
+        """Create the engine with the settings and the seed in the record.
 
         Raises:
-            SettingsError: a setting is missing or cannot be used.
+            SettingsError: A setting is missing or invalid.
         """
         reader = SettingsReader(decode_settings_text(opened.settings_text))
-        self._load_fields = read_load_report_metrics(reader)
+        self._load_report_metrics = read_load_report_metrics(reader)
         self.engine = PolicyEngine(read_settings(reader), opened.seed)
 
-    def decode_load_report(self, undecoded: EventWithRawLoadReport) -> Event:
-        """Return the event with its load report; values of unknown metrics are left out."""
+    def decode_load_report(self, event_with_raw_report: EventWithRawLoadReport) -> Event:
+        """Return the event with its decoded load report; values of unknown metrics are omitted."""
         load_report: dict[LoadMetric, float] = {}
-        for metric, value in zip(self._load_fields, undecoded.values, strict=False):
+        for metric, value in zip(self._load_report_metrics, event_with_raw_report.values, strict=False):
             if metric is not None:
                 load_report[metric] = value
-        return replace(undecoded.event, load_report=load_report)
+        return replace(event_with_raw_report.event, load_report=load_report)
 
 
 class AdapterHost:
-    """Holds the instances of this process; they share the decoder and nothing else."""
+    """Runs the instances of this process, which share only the event decoder."""
 
     def __init__(self) -> None:
         """Create a host that has no instances yet."""
@@ -56,11 +56,11 @@
         self._limiters: dict[int, SimulatedLimiter] = {}
 
     def process_batch(self, batch: Batch) -> bytes:
-        """Give each record of the batch to its instance; return the framed reply with their actions.
+        """Pass each record of the batch to its instance; return the encoded reply with their actions.
 
         Raises:
-            WireError: the batch is malformed.
-            SettingsError: the settings of a new instance cannot be used.
+            WireError: The batch is malformed.
+            SettingsError: The settings of a new instance are invalid.
         """
         actions = bytearray()
         for instance, record in self._decoder.decode(batch.body, batch.record_count):
@@ -72,7 +72,7 @@
                 continue
             limiter = self._limiters.get(instance)
             if limiter is None:
-                continue  # The instance is closed, so its late events have no receiver.
+                continue  # The instance is closed, so late events for it are ignored.
             event = (
                 limiter.decode_load_report(record) if isinstance(record, EventWithRawLoadReport) else record
             )
@@ -82,11 +82,11 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends.
+    """Reply to batches until the input ends.
 
     Raises:
-        WireError: the input does not follow the wire's form.
-        SettingsError: the settings of a new instance cannot be used.
+        WireError: The input violates the wire protocol.
+        SettingsError: The settings of a new instance are invalid.
     """
     host = AdapterHost()
     while (batch := read_batch(source)) is not None:
@@ -95,7 +95,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; return the exit code."""
+    """Serve batches from standard input; return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, ValueError) as error:
--- a/limiter/simulator/errors.py
+++ b/limiter/simulator/errors.py
@@ -1,4 +1,4 @@
-"""The error of the simulator's wire."""
+"""The error for input that violates the wire protocol of the simulator."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class WireFault(Enum):
-    """What is wrong with input that does not follow the wire's form."""
+    """Kinds of violations of the wire protocol."""
 
-    TRUNCATED = "truncated"  # The input, or a record in it, ends before all of its bytes have come.
-    LENGTH = "length"  # The length of a frame does not fit what the frame holds.
-    UNKNOWN_CODE = "unknown code"  # A code number has no meaning on this wire.
-    UNKNOWN_PAGE = "unknown page"  # A registry record names an endpoint page that was never declared.
+    TRUNCATED = "truncated"  # The input ends inside a batch, or a batch ends inside a record.
+    LENGTH = "length"  # The length of a batch differs from its contents.
+    UNKNOWN_CODE = "unknown code"  # The protocol does not define a code.
+    UNKNOWN_PAGE = "unknown page"  # A registry record refers to an endpoint page that was not declared.
 
 
 class WireError(Exception):
-    """Input that does not follow the wire's form; the message says what was read and what is wrong."""
+    """The input violates the wire protocol; the message says what was expected and what was read."""
 
     def __init__(self, fault: WireFault, problem: str) -> None:
-        """Take the kind of fault, and the message."""
+        """Create the error with the kind of violation and the message."""
         super().__init__(problem)
         self.fault = fault
--- a/limiter/simulator/event_decoder.py
+++ b/limiter/simulator/event_decoder.py
@@ -1,8 +1,8 @@
-"""Decodes the records of a batch into events of the decision policy.
+"""Decodes the records of a batch to events of the decision policy.
 
-A record is a one-byte code and the fields of that code; the comments give the wire's own names of both. Most
-records are addressed to one instance, a simulated limiter. A page belongs to the whole process: it declares a
-numbered list of endpoints to which later records refer.
+A record consists of a one-byte code and the fields that belong to the code; the comments give the names of
+both in the wire protocol. Most records are addressed to one instance, which is a simulated limiter. A page
+applies to the whole process: it declares a numbered list of endpoints, to which later records refer.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
     TimerFired,
 )
 from limiter.simulator.errors import WireError, WireFault
-from limiter.simulator.record_reader import Pages, RecordReader
+from limiter.simulator.record_reader import EndpointPages, RecordReader
 from limiter.simulator.records import EventWithRawLoadReport, InstanceClosed, InstanceOpened, Record
 
 
 class EventCode(IntEnum):
-    """The first byte of a record."""
+    """The code in the first byte of a record."""
 
     CLIENT_DISCONNECTED = 16  # LAPSED
     ENDPOINTS_CHANGED = 17  # REGISTRY
@@ -49,15 +49,15 @@
 
 
 class RegistryForm(IntEnum):
-    """What a registry record states about the endpoint list."""
+    """How the page of a registry record relates to the endpoint list."""
 
-    DELTA = 0  # The page has only the entries that changed.
+    DELTA = 0  # The page contains only the entries that have changed.
     FULL = 1  # The page is the full list.
-    CACHED = 2  # The page is the full list as the instance last knew it, and may be outdated.
+    CACHED = 2  # The page is the full list that the instance last knew; it may be outdated.
     FAILED = 3  # The poll failed, and the record has no page.
 
 
-CLIENT_RETRY_BIT = 2  # The bit of a request's options that marks a client's retry.
+CLIENT_RETRY_BIT = 2  # The bit in a request's options that is set if the client retries a request.
 
 OUTCOMES = {
     200: Outcome.OK,
@@ -71,8 +71,8 @@
 }
 ENDPOINT_STATES = {0: EndpointState.DRAINING, 1: EndpointState.READY, 2: EndpointState.GONE}
 
-# Layouts of records. The first byte, `x`, is the code, which the decoder has looked at before. A layout that
-# ends with a count or length is followed by so much content.
+# Layouts of records. The first byte, `x`, is the code, which the decoder has already read. A layout that ends
+# with a count or length is followed by that number of entries, values or bytes.
 _CLIENT_DISCONNECTED = struct.Struct(">xHI")  # limiter, requestId
 _ENDPOINTS_CHANGED = struct.Struct(">xHBQI")  # limiter, form, revision, setId
 _HEALTH_CHECK_ENDED = struct.Struct(">xH6sHdB")  # limiter, server, how, latency, count of serverStats
@@ -88,8 +88,8 @@
 _COUNTER_REPLY = struct.Struct(">xHQHfd")  # limiter, cname, how, resultValue, latency
 _ENDPOINT_PAGE = struct.Struct(">xII")  # setId, count of entries
 ENDPOINT_ENTRY = struct.Struct(">HdH6sfHB")  # bay, startTime, kind, server, capacityHint, hall, status
-# Layouts of load reports by their number of values, which is one byte on the wire.
-_FLOATS = [struct.Struct(f">{count}f") for count in range(256)]
+# Layouts of load reports by their number of values, for which a record has one byte.
+_LOAD_REPORT_LAYOUTS = [struct.Struct(f">{count}f") for count in range(256)]
 
 
 # The number of an instance, and the record that is addressed to it.
@@ -97,36 +97,36 @@
 
 
 class EventDecoder:
-    """Decodes batches in their order; keeps the pages that records of later batches refer to."""
+    """Decodes batches in order, and keeps the pages to which records of later batches refer."""
 
     def __init__(self) -> None:
-        """Create a decoder that knows no pages yet."""
-        self._pages: Pages = {}
+        """Create a decoder without pages."""
+        self._pages: EndpointPages = {}
 
     def decode(self, body: bytes, record_count: int) -> list[AddressedRecord]:
         """Decode all records of a batch.
 
         Raises:
-            WireError: the body is not exactly `record_count` well-formed records.
+            WireError: The body does not consist of exactly `record_count` well-formed records.
         """
         records: list[AddressedRecord] = []
         reader = RecordReader(body, self._pages)
-        start = 0
+        record_start = 0
         try:
             for _ in range(record_count):
-                start = reader.offset
-                code = body[start]
+                record_start = reader.offset
+                code = body[record_start]
                 decode_record = _DECODERS.get(code)
                 if decode_record is None:
-                    raise _unknown_code(code, "event code", f" at byte {start}")
+                    raise _unknown_code_error(code, "event code", f" at byte {record_start}")
                 record = decode_record(reader)
                 if record is not None:
                     records.append(record)
         except (struct.error, IndexError) as error:
-            message = f"record at byte {start} is cut short"
+            message = f"record at byte {record_start} is truncated: the batch ends inside it"
             raise WireError(WireFault.TRUNCATED, message) from error
         if reader.offset != len(body):
-            message = f"{len(body) - reader.offset} bytes follow the last record"
+            message = f"{len(body) - reader.offset} unexpected bytes follow the last record of the batch"
             raise WireError(WireFault.LENGTH, message)
         return records
 
@@ -143,7 +143,7 @@
         limiter_set_size,
         limiter_set_start,
         expires_at,
-    ) = reader.read(_CLIENT_REQUEST)
+    ) = reader.read_fields(_CLIENT_REQUEST)
     request = ClientRequest(
         request_id,
         customer,
@@ -170,12 +170,12 @@
         outcome_code,
         request_finished,
         load_value_count,
-    ) = reader.read(_ATTEMPT_ENDED)
+    ) = reader.read_fields(_ATTEMPT_ENDED)
     event = AttemptEnded(
         request_id,
         attempt,
         endpoint_id,
-        _outcome(outcome_code),
+        _decode_outcome(outcome_code),
         latency,
         bool(request_finished),
         metered_utilization=(metered_percent_plus_one - 1) / 100.0 if metered_percent_plus_one else None,
@@ -183,62 +183,62 @@
     )
     if not load_value_count:
         return instance, event
-    return instance, EventWithRawLoadReport(event, reader.read(_FLOATS[load_value_count]))
+    return instance, EventWithRawLoadReport(event, reader.read_fields(_LOAD_REPORT_LAYOUTS[load_value_count]))
 
 
 def _decode_health_check_ended(reader: RecordReader) -> AddressedRecord:
-    instance, endpoint_id, outcome_code, latency, load_value_count = reader.read(_HEALTH_CHECK_ENDED)
-    load_values = reader.read(_FLOATS[load_value_count])
-    event = HealthCheckEnded(endpoint_id, _outcome(outcome_code), latency)
+    instance, endpoint_id, outcome_code, latency, load_value_count = reader.read_fields(_HEALTH_CHECK_ENDED)
+    load_values = reader.read_fields(_LOAD_REPORT_LAYOUTS[load_value_count])
+    event = HealthCheckEnded(endpoint_id, _decode_outcome(outcome_code), latency)
     return instance, EventWithRawLoadReport(event, load_values)
 
 
 def _decode_timer_fired(reader: RecordReader) -> AddressedRecord:
-    instance, token = reader.read(_TIMER_FIRED)
+    instance, token = reader.read_fields(_TIMER_FIRED)
     return instance, TimerFired(token)
 
 
 def _decode_counter_reply(reader: RecordReader) -> AddressedRecord:
-    instance, key, outcome_code, total, latency = reader.read(_COUNTER_REPLY)
-    return instance, CounterReply(key, _outcome(outcome_code), total, latency)
+    instance, counter_key, outcome_code, total_units, latency = reader.read_fields(_COUNTER_REPLY)
+    return instance, CounterReply(counter_key, _decode_outcome(outcome_code), total_units, latency)
 
 
 def _decode_client_disconnected(reader: RecordReader) -> AddressedRecord:
-    instance, request_id = reader.read(_CLIENT_DISCONNECTED)
+    instance, request_id = reader.read_fields(_CLIENT_DISCONNECTED)
     return instance, ClientDisconnected(request_id)
 
 
 def _decode_stream_started(reader: RecordReader) -> AddressedRecord:
-    instance, request_id, attempt, endpoint_id, latency = reader.read(_STREAM_STARTED)
+    instance, request_id, attempt, endpoint_id, latency = reader.read_fields(_STREAM_STARTED)
     return instance, StreamStarted(request_id, attempt, endpoint_id, latency)
 
 
 def _decode_gossip_received(reader: RecordReader) -> AddressedRecord:
-    instance, sender, length = reader.read(_GOSSIP_RECEIVED)
+    instance, sender, length = reader.read_fields(_GOSSIP_RECEIVED)
     return instance, GossipReceived(sender, reader.read_bytes(length))
 
 
 def _decode_instance_opened(reader: RecordReader) -> AddressedRecord:
-    instance, seed, length = reader.read(_INSTANCE_OPENED)
+    instance, seed, length = reader.read_fields(_INSTANCE_OPENED)
     return instance, InstanceOpened(seed, reader.read_bytes(length))
 
 
 def _decode_instance_closed(reader: RecordReader) -> AddressedRecord:
-    (instance,) = reader.read(_INSTANCE_CLOSED)
+    (instance,) = reader.read_fields(_INSTANCE_CLOSED)
     return instance, InstanceClosed()
 
 
 def _decode_endpoints_changed(reader: RecordReader) -> AddressedRecord:
-    instance, form, _revision, page = reader.read(_ENDPOINTS_CHANGED)
+    instance, form, _revision, page_number = reader.read_fields(_ENDPOINTS_CHANGED)
     if form > RegistryForm.FAILED:
-        raise _unknown_code(form, "registry form")
+        raise _unknown_code_error(form, "registry form")
     if form == RegistryForm.FAILED:
         return instance, DiscoveryPollFailed()
-    if page not in reader.pages:
-        message = f"registry names page {page}, which never came"
+    if page_number not in reader.pages:
+        message = f"registry record refers to page {page_number}, which no earlier record has declared"
         raise WireError(WireFault.UNKNOWN_PAGE, message)
     event = EndpointsChanged(
-        reader.pages[page],
+        reader.pages[page_number],
         is_full_list=form != RegistryForm.DELTA,
         from_cache=form == RegistryForm.CACHED,
     )
@@ -246,34 +246,34 @@
 
 
 def _decode_endpoint_page(reader: RecordReader) -> None:
-    """Declare a page; a page declared earlier under its number is replaced."""
-    page, entry_count = reader.read(_ENDPOINT_PAGE)
+    """Declare a page, which replaces any earlier page with the same number."""
+    page_number, entry_count = reader.read_fields(_ENDPOINT_PAGE)
     entries = reader.read_bytes(entry_count * ENDPOINT_ENTRY.size)
-    reader.pages[page] = tuple(map(_endpoint, ENDPOINT_ENTRY.iter_unpack(entries)))
+    reader.pages[page_number] = tuple(map(_decode_endpoint, ENDPOINT_ENTRY.iter_unpack(entries)))
 
 
-def _endpoint(entry: tuple[int, float, int, bytes, float, int, int]) -> Endpoint:
-    cell, started_at, kind, endpoint_id, weight, zone, state_code = entry
+def _decode_endpoint(entry: tuple[int, float, int, bytes, float, int, int]) -> Endpoint:
+    cell, started_at, machine_type, endpoint_id, weight, zone, state_code = entry
     try:
         state = ENDPOINT_STATES[state_code]
     except KeyError as error:
-        raise _unknown_code(state_code, "server state") from error
-    return Endpoint(endpoint_id, state, zone, cell, kind, weight, started_at)
+        raise _unknown_code_error(state_code, "server state") from error
+    return Endpoint(endpoint_id, state, zone, cell, machine_type, weight, started_at)
 
 
-def _outcome(code: int) -> Outcome:
+def _decode_outcome(code: int) -> Outcome:
     try:
         return OUTCOMES[code]
     except KeyError as error:
-        raise _unknown_code(code, "outcome code") from error
+        raise _unknown_code_error(code, "outcome code") from error
 
 
-def _unknown_code(code: int, kind: str, place: str = "") -> WireError:
-    """Return the error of a code number that has no meaning; `kind` says what it should be."""
-    return WireError(WireFault.UNKNOWN_CODE, f"unknown {kind} {code}{place}")
+def _unknown_code_error(code: int, code_kind: str, location: str = "") -> WireError:
+    """Return the error for a code that the protocol does not define; `code_kind` says what it stands for."""
+    return WireError(WireFault.UNKNOWN_CODE, f"unknown {code_kind} {code}{location}")
 
 
-# Decoders by code. Each record of a run is decoded by one look-up here, not by a chain of comparisons.
+# Decoders by code. A record needs only one look-up here to find its decoder, not a chain of comparisons.
 _DECODERS: dict[int, Callable[[RecordReader], AddressedRecord | None]] = {
     EventCode.CLIENT_DISCONNECTED: _decode_client_disconnected,
     EventCode.ENDPOINTS_CHANGED: _decode_endpoints_changed,
--- a/limiter/simulator/record_reader.py
+++ b/limiter/simulator/record_reader.py
@@ -1,4 +1,4 @@
-"""Reads the fields of a batch's records, one after the other."""
+"""Reads the fields of the records in a batch sequentially."""
 
 from __future__ import annotations
 
@@ -8,41 +8,41 @@
 from limiter.model.events import Endpoint
 from limiter.simulator.errors import WireError, WireFault
 
-# Lists of endpoints by the number of their page.
-Pages = dict[int, tuple[Endpoint, ...]]
+# The endpoints of each page, by the number of the page.
+EndpointPages = dict[int, tuple[Endpoint, ...]]
 
 
 class RecordReader:
-    """Reads the fields of records one after the other from the body of a batch.
+    """Reads the fields of records sequentially from the body of a batch.
 
     Attributes:
-        offset: Byte of the body that is read next.
-        pages: The pages declared so far, which records refer to and add to.
+        offset: Offset in the body of the byte that is read next.
+        pages: The pages declared so far, to which records refer; page records add to them.
     """
 
     __slots__ = ("_body", "offset", "pages")
 
-    def __init__(self, body: bytes, pages: Pages) -> None:
-        """Begin at the first byte of the body; `pages` are those that earlier batches declared."""
+    def __init__(self, body: bytes, pages: EndpointPages) -> None:
+        """Start at the first byte of the body; `pages` are those that earlier batches declared."""
         self._body = body
         self.offset = 0
         self.pages = pages
 
-    def read(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """Return the fields of a layout, whose types `struct` doesn't tell: each decoder names its fields."""
+    def read_fields(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """Return the fields of a layout. Their types are unknown here; each decoder assigns them to names."""
         fields = layout.unpack_from(self._body, self.offset)
         self.offset += layout.size
         return fields
 
     def read_bytes(self, length: int) -> bytes:
-        """Return so many bytes.
+        """Return the next `length` bytes.
 
         Raises:
-            WireError: The body ends before.
+            WireError: The body has fewer bytes left.
         """
         end = self.offset + length
         if end > len(self._body):
-            message = f"record reaches to byte {end} of {len(self._body)}"
+            message = f"record extends to byte {end}, but the batch body ends at byte {len(self._body)}"
             raise WireError(WireFault.TRUNCATED, message)
         data = self._body[self.offset : end]
         self.offset = end
--- a/limiter/simulator/records.py
+++ b/limiter/simulator/records.py
@@ -1,4 +1,4 @@
-"""Records of a batch: events of the decision policy, and what only the simulator's wire has beside them."""
+"""Records of a batch: events of the decision policy, and records that only the simulator's protocol has."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceOpened:
-    """An instance starts, with no state.
+    """An instance starts without any state.
 
     Attributes:
-        seed: Seed of its random draws.
-        settings_text: Its settings as `path=value` lines in UTF-8.
+        seed: Seed of its random number generator.
+        settings_text: Its settings as lines `path=value` in UTF-8.
     """
 
     seed: int
@@ -22,16 +22,16 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceClosed:
-    """An instance has ended, and its state with it."""
+    """An instance has ended; its state is discarded."""
 
 
 @dataclass(frozen=True, slots=True)
 class EventWithRawLoadReport:
-    """An event whose load report can only be read with the field order in the instance's settings.
+    """An event whose load report is not decoded yet, since that needs the settings of the instance.
 
     Attributes:
         event: The event without its load report.
-        values: The values of the load report, in the order of the settings' `report.fields`.
+        values: The values of the load report, in the order of the setting `report.fields`.
     """
 
     event: AttemptEnded | HealthCheckEnded
