--- a/limiter/configuration/config_parser.py
+++ b/limiter/configuration/config_parser.py
@@ -14,9 +14,10 @@
 
 # Maximum number of file descriptors of the limiter if the configuration has no `limits.sockets`.
 DEFAULT_MAX_DESCRIPTORS = 1024
-# Smallest accepted maximum. It leaves descriptors for clients and servers after the reserved ones.
+# Smallest accepted value of `limits.sockets`. It leaves descriptors for clients and servers besides the
+# reserved ones.
 MIN_DESCRIPTORS = 64
-# The maximum must be below this number, since a descriptor is a C int.
+# `limits.sockets` must be below this number, since a file descriptor is a C int.
 DESCRIPTOR_LIMIT = 2**31
 DEFAULT_DIAL_TIMEOUT_MS = 250.0
 DEFAULT_KEEPALIVE_MS = 30_000.0
--- a/limiter/process/shutdown.py
+++ b/limiter/process/shutdown.py
@@ -22,8 +22,8 @@
 # New connections are accepted for this time after SIGTERM, since clients continue to connect until their
 # health checks of this limiter have failed.
 ACCEPT_AFTER_SIGTERM_SECONDS = 0.5
-# The platform sends SIGKILL after the longest deadline of the request classes, of which it counts at most
-# MAX_DEADLINE_SECONDS, plus KILL_DELAY_SECONDS.
+# The platform sends SIGKILL KILL_DELAY_SECONDS after the longest deadline of the request classes. It counts a
+# longer deadline than MAX_DEADLINE_SECONDS as MAX_DEADLINE_SECONDS.
 MAX_DEADLINE_SECONDS = 3.0
 KILL_DELAY_SECONDS = 0.7
 # Time for sending the last responses that are still in the buffers of the process.
