--- a/tests/policy/test_usage_gossip.py
+++ b/tests/policy/test_usage_gossip.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from limiter.codecs.gossip_messages import ENTRY_BYTES, GROUP_HEADER, HEADER, MAX_MESSAGE_BYTES
+from limiter.codecs.gossip_messages import ENTRY_BYTES, GROUP_HEADER, MAX_MESSAGE_BYTES, USAGE_MESSAGE_HEADER
 from limiter.model.actions import BroadcastGossip, RejectRequest
 from limiter.model.events import GossipReceived, Outcome
 from limiter.model.settings import QuotaPlan, Settings
@@ -94,9 +94,9 @@
 def test_fractions_of_units_are_sent_once_they_sum_up_to_a_unit() -> None:
     gossip = make_gossip()
     gossip.record_forwarded_units(0.0, 1, 0, 0.75)
-    assert len(gossip.encode_message(0, 0.0)) == HEADER.size
+    assert len(gossip.encode_message(0, 0.0)) == USAGE_MESSAGE_HEADER.size
     gossip.record_forwarded_units(0.0, 1, 0, 0.75)
-    assert len(gossip.encode_message(0, 0.0)) == HEADER.size + GROUP_HEADER.size + ENTRY_BYTES
+    assert len(gossip.encode_message(0, 0.0)) == USAGE_MESSAGE_HEADER.size + GROUP_HEADER.size + ENTRY_BYTES
     assert gossip.unsent_units(customer=1, plan_index=0) == 0.5
 
 
@@ -105,8 +105,8 @@
     [
         pytest.param(b"", id="empty"),
         pytest.param(b"\x01", id="cut in the header"),
-        pytest.param(HEADER.pack(1, 1) + b"\x00", id="cut in a group header"),
-        pytest.param(HEADER.pack(1, 1) + b"\x09\x01" + bytes(ENTRY_BYTES), id="unknown plan"),
+        pytest.param(USAGE_MESSAGE_HEADER.pack(1, 1) + b"\x00", id="cut in a group header"),
+        pytest.param(USAGE_MESSAGE_HEADER.pack(1, 1) + b"\x09\x01" + bytes(ENTRY_BYTES), id="unknown plan"),
         pytest.param(peer_message(units=3)[:-1], id="cut in an entry"),
     ],
 )
@@ -253,7 +253,7 @@
     driver.advance_to(driver.now + 2000.0)
     [body] = [action.body for action in driver.actions if isinstance(action, BroadcastGossip)]
     one_unit = CUSTOMER << 7 | 1
-    assert body[HEADER.size + GROUP_HEADER.size :] == one_unit.to_bytes(5)
+    assert body[USAGE_MESSAGE_HEADER.size + GROUP_HEADER.size :] == one_unit.to_bytes(5)
     driver.advance_to(driver.now + 60000.0)
     assert not driver.pending_timers  # an idle limiter sends nothing
 
