--- a/scale/__init__.py
+++ b/scale/__init__.py
@@ -1,6 +1,6 @@
-"""Experiments at sizes that no machine holds.
+"""Experiments with fleets that are too large to run as real processes on one machine.
 
-Many policy engines run on one virtual clock, or one limiter process runs among emulated peers.
+Either many policy engines run on one virtual clock, or one limiter process runs among emulated peers.
 
-Run as `python -m scale`. Nothing of the limiter needs this package.
+Run as `python -m scale`. The limiter does not depend on this package.
 """
--- a/scale/errors.py
+++ b/scale/errors.py
@@ -1,16 +1,17 @@
-"""Errors of the experiments."""
+"""Errors in experiments and in the options of the command line."""
 
 from __future__ import annotations
 
 
 class ExperimentError(Exception):
-    """An experiment that cannot be run; the message is one line, `KEY: what is wrong`."""
+    """An experiment cannot be run. The message is one line of the form `KEY: what is wrong`."""
 
     def __init__(self, key: str, problem: str) -> None:
-        """State the problem.
+        """Create an error that states a problem.
 
         Args:
-            key: path of a key in the experiment's file, or the file, or an option of the command line.
+            key: the path of a key in the experiment file, the path of the file itself, or an option of the
+                command line.
             problem: what is wrong with it.
         """
         super().__init__(f"{key}: {problem}")
--- a/scale/experiment.py
+++ b/scale/experiment.py
@@ -1,7 +1,7 @@
-"""Experiments as TOML files: reading and checking them, and finding what runs each kind.
+"""Loading of experiments from TOML files, and running them.
 
-A file's key `kind` names one of KINDS. The types and runners of a kind are imported only when a file asks for
-them, so that a kind works without what another one needs.
+The key `kind` of a file names one of KINDS. The modules of a kind are imported only when a file of that kind
+is loaded, so that a kind works without the dependencies of another.
 """
 
 from __future__ import annotations
@@ -18,23 +18,30 @@
 from scale.errors import ExperimentError
 
 Experiment = msgspec.Struct
-# A line of results, by key; the values are of JSON's types.
+# One line of results: JSON values by key.
 ResultLine = Mapping[str, object]
 ResultRecorder = Callable[[ResultLine], None]
 ProgressReporter = Callable[[str], None]
 
 KIND_KEY = "kind"
-WRONG_FIELD = re.compile(r"Object (contains unknown|missing required) field `(\w*)`")
-# A problem found by a plan's own checks: it begins with the key, as the table that msgspec names has it.
-KEYED_PROBLEM = re.compile(r"([a-z_]+(?:\[\d+\])?(?:\.[a-z_]+)?): (.*)")
+FIELD_ERROR = re.compile(r"Object (contains unknown|missing required) field `(\w*)`")
+# A problem that the checks of an experiment type found. It begins with a key relative to the table that
+# msgspec names.
+PROBLEM_WITH_KEY = re.compile(r"([a-z_]+(?:\[\d+\])?(?:\.[a-z_]+)?): (.*)")
 
 
 class Kind(NamedTuple):
-    """Where a kind of experiment is found: its plan's module and type, and the module that has its `run`."""
+    """Modules of a kind of experiment.
 
-    plan: str
-    type: str
-    runner: str
+    Attributes:
+        plan_module: name of the module that defines the type of the experiment.
+        plan_type: name of that type.
+        runner_module: name of the module whose function `run` runs the experiment.
+    """
+
+    plan_module: str
+    plan_type: str
+    runner_module: str
 
 
 KINDS = {
@@ -45,66 +52,73 @@
 
 
 def load_experiment(path: Path, seed: int | None) -> Experiment:
-    """Read and check an experiment.
+    """Read an experiment from a file and validate it.
 
     Args:
-        path: of the TOML file.
-        seed: takes the place of the file's own seed, unless it is None.
+        path: path of the TOML file.
+        seed: the seed to use instead of the one in the file; None for the one in the file.
 
     Raises:
-        ExperimentError: the file cannot be read, or its content is not valid.
+        ExperimentError: the file cannot be read, or its content is invalid.
     """
     data = _read_toml(path)
     kind = data.get(KIND_KEY)
     if not isinstance(kind, str) or kind not in KINDS:
-        raise ExperimentError(KIND_KEY, f"{kind!r} is none of {', '.join(KINDS)}")
+        raise ExperimentError(KIND_KEY, f"{kind!r} is not one of {', '.join(KINDS)}")
     if seed is not None:
         data["seed"] = seed
-    location = KINDS[kind]
-    plan: type[Experiment] = getattr(importlib.import_module(location.plan), location.type)
+    kind_location = KINDS[kind]
+    plan: type[Experiment] = getattr(
+        importlib.import_module(kind_location.plan_module), kind_location.plan_type
+    )
     try:
         return msgspec.convert(data, plan)
     except msgspec.ValidationError as error:
-        raise ExperimentError(*_key_and_problem(str(error))) from error
+        raise ExperimentError(*_split_validation_message(str(error))) from error
 
 
 def run(experiment: Experiment, record: ResultRecorder, progress: ProgressReporter) -> None:
     """Run an experiment.
 
     Args:
-        experiment: as `load` returned it.
-        record: takes the result lines, one by one.
-        progress: takes lines of text that show how far the run has come.
+        experiment: the experiment, as `load_experiment` returned it.
+        record: called with each result line.
+        progress: called with each line of text that reports the progress of the run.
     """
     kind = KINDS[str(type(experiment).__struct_config__.tag)]
-    importlib.import_module(kind.runner).run(experiment, record, progress)
+    importlib.import_module(kind.runner_module).run(experiment, record, progress)
 
 
 def _read_toml(path: Path) -> dict[str, object]:
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
-        raise ExperimentError(str(path), _one_line(error)) from error
+        raise ExperimentError(str(path), _format_error_in_one_line(error)) from error
     except tomllib.TOMLDecodeError as error:
-        raise ExperimentError(str(path), f"not TOML: {_one_line(error)}") from error
+        raise ExperimentError(str(path), f"invalid TOML: {_format_error_in_one_line(error)}") from error
 
 
-def _one_line(error: Exception) -> str:
+def _format_error_in_one_line(error: Exception) -> str:
     text = str(error)
     if isinstance(error, OSError) and error.strerror:
         text = error.strerror
     return " ".join(text.split())
 
 
-def _key_and_problem(message: str) -> tuple[str, str]:
-    """Split msgspec's message: `Expected ... - at $.a.b` becomes `a.b` and `expected ...`."""
+def _split_validation_message(message: str) -> tuple[str, str]:
+    """Return key and problem of a message of msgspec.
+
+    For example, `Expected ... - at $.a.b` becomes `a.b` and `expected ...`.
+    """
     problem, _, location = " ".join(message.split()).partition(" - at ")
     path = location.strip("`").removeprefix("$").removeprefix(".")
-    wrong_field = WRONG_FIELD.match(problem)
-    if wrong_field is not None:
-        is_unknown = "unknown" in wrong_field[1]
-        problem = f"{wrong_field[2]}: {'not a key of this kind' if is_unknown else 'missing'}"
-    keyed = KEYED_PROBLEM.match(problem)
-    if keyed is not None:
-        return f"{path}.{keyed[1]}" if path else keyed[1], keyed[2]
+    field_error = FIELD_ERROR.match(problem)
+    if field_error is not None:
+        is_unknown = "unknown" in field_error[1]
+        problem = (
+            f"{field_error[2]}: {'unknown key for this kind of experiment' if is_unknown else 'missing'}"
+        )
+    problem_with_key = PROBLEM_WITH_KEY.match(problem)
+    if problem_with_key is not None:
+        return f"{path}.{problem_with_key[1]}" if path else problem_with_key[1], problem_with_key[2]
     return path or "file", f"{problem[:1].lower()}{problem[1:]}"
--- a/tests/scale/test_cli.py
+++ b/tests/scale/test_cli.py
@@ -26,8 +26,8 @@
 @pytest.mark.parametrize(
     ("old", "new", "says"),
     [
-        ("[servers]", "colour = 1\n[servers]", "colour: not a key of this kind"),
-        ("per_limiter", "per_limitr", "servers.per_limitr: not a key of this kind"),
+        ("[servers]", "colour = 1\n[servers]", "colour: unknown key for this kind of experiment"),
+        ("per_limiter", "per_limitr", "servers.per_limitr: unknown key for this kind of experiment"),
         ("limiters = 12\n", "", "limiters: missing"),
         ("limiters = 12", "limiters = 1", "limiters: expected `int` >= 2"),
         ("duration = 20000.0", "duration = 'long'", "duration: expected `float`, got `str`"),
@@ -37,8 +37,8 @@
         ("duration = 20000.0", "duration = inf", "duration: not a finite number"),
         ("burst = 3.5", "burst = 0.5", "plans[0].burst: under the one unit that a request takes"),
         ("zone = 1\n", "zone = 3\n", "faults[5].zone: 3 is not below zones, 3"),
-        ('kind = "hollow"', 'kind = "solid"', "kind: 'solid' is none of hollow, process, module"),
-        ('kind = "hollow"', "kind = ", "not TOML"),
+        ('kind = "hollow"', 'kind = "solid"', "kind: 'solid' is not one of hollow, process, module"),
+        ('kind = "hollow"', "kind = ", "invalid TOML"),
     ],
 )
 def test_a_wrong_file_gives_one_plain_line_and_exit_code_2(
