--- a/scale/process/discovery.py
+++ b/scale/process/discovery.py
@@ -1,4 +1,4 @@
-"""Emulation of the discovery agent, over HTTP."""
+"""Emulation of the discovery agent, which speaks HTTP."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 class Watch(NamedTuple):
-    """A call that waits for a change of the list."""
+    """A long poll that waits for a change to the endpoint list."""
 
-    version: int  # newest version that the caller knows
-    timer: asyncio.TimerHandle  # ends the watch at its timeout
+    known_version: int  # newest version of the list that the caller has
+    timer: asyncio.TimerHandle  # ends the watch when its timeout expires
 
 
 class Discovery:
-    """The discovery agent: a watch ends once there are changes, or when its time is over."""
+    """The discovery agent. A watch ends when the list changes, or when its timeout expires."""
 
     def __init__(self, endpoints: EndpointList) -> None:
-        """Serve that list and its changes."""
+        """Create an agent that serves the endpoint list and its changes."""
         self.traffic = Traffic()
         self.calls = 0
-        self.full_list_calls = 0  # number of calls for the whole list
+        self.full_list_calls = 0  # number of calls for the full list
         self.malformed_calls = 0
-        # The newest version that the limiter has reported to know, in a watch.
+        # The newest version of the list that the limiter has acknowledged by a watch.
         self.acknowledged_version = endpoints.version
         self.endpoints = endpoints
         self.watches: dict[_DiscoveryConnection, Watch] = {}
@@ -39,26 +39,26 @@
 
     @property
     def acknowledged_changes(self) -> int:
-        """Number of changes that the limiter has reported to know."""
+        """Number of changes that the limiter has acknowledged."""
         return self.acknowledged_version - FIRST_VERSION
 
     async def start(self) -> str:
-        """Listen for connections; return the address, `host:port`."""
+        """Listen for connections and return the address, `host:port`."""
         self._listener, address = await listen(lambda: _DiscoveryConnection(self))
         return address
 
     def apply_next_change(self) -> None:
-        """Change the list, and end all watches."""
+        """Apply the next change to the list and end all watches."""
         self.endpoints.apply_next_change(round(time.time() * 1000))
         for connection in list(self.watches):
             self.end_watch(connection)
 
     def close(self) -> None:
-        """Stop listening; connections stay open."""
+        """Stop listening. Open connections are not closed."""
         self._listener.close()
 
     def request_received(self, connection: _DiscoveryConnection, head: bytes) -> None:
-        """Respond to a call for the whole list, or begin a watch."""
+        """Respond to a call for the full list, or start a watch."""
         self.calls += 1
         target = head.split(b" ", 2)[1]
         if target == FULL_LIST_TARGET:
@@ -73,13 +73,13 @@
         self._begin_watch(connection, int(watch[1]), int(watch[2]))
 
     def end_watch(self, connection: _DiscoveryConnection) -> None:
-        """End a watch: respond with the changes since its version, which may be none."""
+        """End a watch with a response that has the changes since its version, possibly none."""
         watch = self.watches.pop(connection)
         watch.timer.cancel()
-        connection.respond(200, self.endpoints.encode_changes_since(watch.version))
+        connection.respond(200, self.endpoints.encode_changes_since(watch.known_version))
 
     def cancel_watch(self, connection: _DiscoveryConnection) -> None:
-        """End the watch of a closed connection, if it has one."""
+        """Cancel the watch of a closed connection, if there is one."""
         watch = self.watches.pop(connection, None)
         if watch is not None:
             watch.timer.cancel()
--- a/scale/process/fleet_load.py
+++ b/scale/process/fleet_load.py
@@ -1,6 +1,6 @@
-"""Load of a whole fleet of limiters on the roles that they share.
+"""Load of a whole fleet of limiters on the services that they share.
 
-The figures are derived from the settings; nothing is measured here.
+The figures are derived from the settings, not measured.
 """
 
 from __future__ import annotations
@@ -13,31 +13,32 @@
 
 @dataclass(frozen=True, slots=True)
 class LimiterFleet:
-    """A fleet of limiters that all have the same load."""
+    """A fleet of limiters, all with the same load."""
 
     limiters: int
     discovery_is_pushed: bool
-    changes_per_s: float  # changes of the endpoint list
+    changes_per_s: float  # changes to the endpoint list
     requests_per_s: float  # requests at each limiter
     counter_calls_per_request: float
-    gossip_intake_per_s: float  # messages that each limiter may take in
+    gossip_intake_per_s: float  # maximum rate of messages that each limiter accepts
 
 
 @dataclass(frozen=True, slots=True)
 class FleetLoad:
-    """Calls and messages a second, of all limiters together unless said otherwise."""
+    """Calls and messages per second, of all limiters together unless stated otherwise."""
 
-    discovery_call_rate: float  # watches that end, with changes or without
-    discovery_entry_rate: float  # entries of the list in responses of discovery
+    discovery_call_rate: float  # watches, whether they end with changes or without
+    discovery_entry_rate: float  # list entries in the responses of discovery
     counter_call_rate: float
-    gossip_interval_s: float  # time between two messages of one limiter, each to all others
-    datagram_rate: float  # gossip datagrams; a message is one to each other limiter
+    gossip_interval_s: float  # time between two messages of one limiter, each sent to all others
+    datagram_rate: float  # gossip datagrams; a message takes one for each other limiter
 
 
 def compute_fleet_load(fleet: LimiterFleet) -> FleetLoad:
-    """Derive the load of a fleet on counter, discovery and gossip.
+    """Derive the load of a fleet on counter and discovery, and the load of its gossip.
 
-    A change of the list ends all watches. A watch without a change ends after the time that its pacing gives.
+    A change to the endpoint list ends all watches. A watch without a change ends after the long poll duration
+    of the limiter's poll pacing.
     """
     pacing = PollPacing.for_fleet(fleet.limiters, uses_local_agent=fleet.discovery_is_pushed)
     watch_s = pacing.long_poll_ms / 1000
--- a/scale/process/slopes.py
+++ b/scale/process/slopes.py
@@ -1,4 +1,4 @@
-"""Straight lines through a sweep's figures: what one more of the swept costs."""
+"""Linear fits to the figures of a sweep, which give the cost of each additional server or limiter."""
 
 from __future__ import annotations
 
@@ -8,45 +8,51 @@
 
 from scale.experiment import ResultLine
 
-# Number of different sizes below which no line is fitted.
+# Minimum number of different sizes to fit a line.
 MIN_SIZES = 3
 
 
 class SlopeLine(TypedDict):
-    """A straight line through one figure of a sweep, by least squares."""
+    """A straight line fitted to one figure of a sweep by least squares."""
 
     kind: str
     line: str
     of: str  # key of the figure
-    over: str  # key of what was swept
-    each: float  # growth of the figure with one more
-    at_none: float  # value of the line at 0
+    over: str  # key of the size that was swept
+    each: float  # growth of the figure for each additional server, limiter or customer
+    at_none: float  # value of the fitted line at size 0
     r2: float  # coefficient of determination
     points: int
 
 
-def fit_slopes(kind: str, swept: str, lines: Sequence[ResultLine], figures: Sequence[str]) -> list[SlopeLine]:
-    """Fit a straight line over `swept` to each figure that lines of MIN_SIZES or more sizes have.
+def fit_slopes(
+    kind: str, swept_key: str, lines: Sequence[ResultLine], figure_keys: Sequence[str]
+) -> list[SlopeLine]:
+    """Fit a straight line over `swept_key` to each figure that has values for at least MIN_SIZES sizes.
 
     Args:
-        kind: of the experiment.
-        swept: key of the size that was swept.
+        kind: kind of the experiment.
+        swept_key: key of the size that was swept.
         lines: result lines of the sweep.
-        figures: keys of the figures; one that is missing or None in a line is left out there.
+        figure_keys: keys of the figures. A line without a figure, or with None, is skipped for that figure.
     """
-    records: list[SlopeLine] = []
-    for figure in figures:
+    slope_lines: list[SlopeLine] = []
+    for figure_key in figure_keys:
         points = [
-            (_number(line[swept]), _number(line[figure])) for line in lines if line.get(figure) is not None
+            (_require_number(line[swept_key]), _require_number(line[figure_key]))
+            for line in lines
+            if line.get(figure_key) is not None
         ]
         if len({size for size, _ in points}) < MIN_SIZES:
             continue
-        records.append(_slope_line(kind, swept, figure, points))
-    return records
+        slope_lines.append(_fit_slope_line(kind, swept_key, figure_key, points))
+    return slope_lines
 
 
-def _slope_line(kind: str, swept: str, figure: str, points: list[tuple[float, float]]) -> SlopeLine:
-    """Fit one line to the points, each a size and the figure's value there."""
+def _fit_slope_line(
+    kind: str, swept_key: str, figure_key: str, points: list[tuple[float, float]]
+) -> SlopeLine:
+    """Fit a line to the points. Each point is a size and the value of the figure at that size."""
     sizes, values = zip(*points, strict=True)
     slope, intercept = statistics.linear_regression(sizes, values)
     is_constant = len(set(values)) == 1
@@ -54,8 +60,8 @@
     return {
         "kind": kind,
         "line": "slope",
-        "of": figure,
-        "over": swept,
+        "of": figure_key,
+        "over": swept_key,
         "each": slope,
         "at_none": intercept,
         "r2": round(determination, 4),
@@ -63,7 +69,7 @@
     }
 
 
-def _number(value: object) -> float:
-    """A value of a result line that is known to be a number."""
+def _require_number(value: object) -> float:
+    """Return a value of a result line, which must be a number."""
     assert isinstance(value, float | int)
     return float(value)
