--- a/scale/process/clients.py
+++ b/scale/process/clients.py
@@ -8,87 +8,106 @@
 from random import Random
 from typing import cast
 
-from scale.process.fleet import MAX_LIMITER_SET_SIZE, PLANS, get_plan_index
+from scale.process.fleet import MAX_LIMITER_SET_SIZE, PLAN_NAMES, get_plan_index
 from scale.process.servers import Servers
-from scale.process.traffic import HEAD_END, content_length
+from scale.process.traffic import HEAD_END, parse_content_length
 
-# Share of the requests that are orders, which must not run twice.
-ORDER_SHARE = 0.47
+# Fraction of the requests that are orders, which must not run twice.
+ORDER_FRACTION = 0.47
 ORDER_BODY = b'{"station":"41008","wave_m":3.0}'
 
 
 class Clients:
-    """Clients that send each request on an idle connection, or on a new one if none is idle."""
+    """Clients that send each request on an idle connection, or on a new one if no connection is idle."""
 
     def __init__(
-        self, address: tuple[str, int], limiters: int, customers: list[int], servers: Servers, rng: Random
+        self,
+        address: tuple[str, int],
+        limiter_count: int,
+        customers: list[int],
+        servers: Servers,
+        rng: Random,
     ) -> None:
-        """Send requests to `address`, a limiter of a fleet of that size."""
-        self.sent = 0
-        # Requests without a response: their connection could not be made, or was closed too early.
-        self.failed = 0
-        self.statuses: Tally[int] = Tally()
-        # For each served request, how much longer it took at the client than at its server.
+        """Create clients without connections.
+
+        Args:
+            address: address of the limiter under test.
+            limiter_count: number of limiters in the fleet.
+            customers: ids of the customers that send requests.
+            servers: the emulated servers, which measure their own service times.
+            rng: source of all random values.
+        """
+        self.requests_sent = 0
+        # Requests without a response, because the connection could not be established or was closed early.
+        self.requests_failed = 0
+        self.responses_by_status: Tally[int] = Tally()
+        # For each served request, the latency that the client measured less the service time of the server.
         self.added_latencies_s: list[float] = []
         self._address = address
-        self._limiters = limiters
+        self._limiter_count = limiter_count
         self._customers = customers
         self._servers = servers
         self._rng = rng
         self._request_ended = asyncio.Event()
-        self._idle: list[_ClientConnection] = []
-        self._open: set[_ClientConnection] = set()
-        self._connecting: set[asyncio.Task[None]] = set()
+        self._idle_connections: list[_ClientConnection] = []
+        self._open_connections: set[_ClientConnection] = set()
+        self._connect_tasks: set[asyncio.Task[None]] = set()
 
     def send_request(self) -> None:
-        """Send a request of some customer."""
-        self.sent += 1
+        """Send a request of a random customer."""
+        self.requests_sent += 1
         customer = self._rng.choice(self._customers)
         request_id = f"{self._rng.getrandbits(64):016x}"
-        is_order = self._rng.random() < ORDER_SHARE
-        data = request_bytes(customer, request_id, is_order, self._limiters)
-        if self._idle:
-            self._idle.pop().send(request_id.encode(), data)
+        is_order = self._rng.random() < ORDER_FRACTION
+        data = encode_request(customer, request_id, is_order, self._limiter_count)
+        if self._idle_connections:
+            self._idle_connections.pop().send(request_id.encode(), data)
             return
         task = asyncio.ensure_future(self._send_on_new_connection(request_id.encode(), data))
-        self._connecting.add(task)
-        task.add_done_callback(self._connecting.discard)
+        self._connect_tasks.add(task)
+        task.add_done_callback(self._connect_tasks.discard)
 
-    async def wait_until_all_ended(self) -> None:
-        """Wait until every request that was sent has its response, or is known never to get one."""
-        while self.statuses.total() + self.failed < self.sent:
+    async def wait_until_all_requests_ended(self) -> None:
+        """Wait until every request that was sent has received a response or has failed."""
+        while self.responses_by_status.total() + self.requests_failed < self.requests_sent:
             self._request_ended.clear()
             await self._request_ended.wait()
 
     def close(self) -> None:
-        """Abort all connections; requests on them get no response."""
-        for connection in list(self._open):
+        """Abort all connections. Requests in flight get no response."""
+        for connection in list(self._open_connections):
             connection.abort()
 
     def connection_made(self, connection: _ClientConnection) -> None:
-        """A connection is open."""
-        self._open.add(connection)
+        """Register a connection that has been established."""
+        self._open_connections.add(connection)
 
     def connection_lost(self, connection: _ClientConnection) -> None:
-        """A connection is closed, and the request on it, if any, never gets a response."""
-        self._open.discard(connection)
-        if connection in self._idle:
-            self._idle.remove(connection)
+        """Unregister a closed connection. If a request was in flight on it, count that request as failed."""
+        self._open_connections.discard(connection)
+        if connection in self._idle_connections:
+            self._idle_connections.remove(connection)
         if connection.request_id is not None:
             connection.request_id = None
-            self._count_failed()
+            self._count_failed_request()
 
     def response_received(self, request_id: bytes, status: int, latency_s: float) -> None:
-        """A request got its whole response, that long after it was written."""
-        self.statuses[status] += 1
+        """Count the complete response to a request.
+
+        Args:
+            request_id: id of the request.
+            status: HTTP status of the response.
+            latency_s: time from writing the request to the end of the response.
+        """
+        self.responses_by_status[status] += 1
         service_time_s = self._servers.service_times_s.pop(request_id, None)
         if status == 200 and service_time_s is not None:
             self.added_latencies_s.append(latency_s - service_time_s)
         self._request_ended.set()
 
     def connection_idle(self, connection: _ClientConnection) -> None:
-        """A connection can take the next request."""
-        self._idle.append(connection)
+        """Make a connection available for the next request."""
+        self._idle_connections.append(connection)
 
     async def _send_on_new_connection(self, request_id: bytes, data: bytes) -> None:
         loop = asyncio.get_running_loop()
@@ -96,26 +115,26 @@
             _, connection = await loop.create_connection(lambda: _ClientConnection(self), *self._address)
             connection.send(request_id, data)
         except OSError:
-            self._count_failed()
+            self._count_failed_request()
 
-    def _count_failed(self) -> None:
-        self.failed += 1
+    def _count_failed_request(self) -> None:
+        self.requests_failed += 1
         self._request_ended.set()
 
 
-def request_bytes(customer: int, request_id: str, is_order: bool, limiters: int) -> bytes:
-    """Write a request as a client does; an order is a request that must not run twice."""
+def encode_request(customer: int, request_id: str, is_order: bool, limiter_count: int) -> bytes:
+    """Encode a client's request. An order is a request that must not run twice."""
     request_class = "alert-order" if is_order else "obs-read"
     method = "POST" if is_order else "GET"
     body = ORDER_BODY if is_order else b""
     length = f"Content-Length: {len(body)}\r\n" if body else ""
-    limiter_set_size = min(MAX_LIMITER_SET_SIZE, limiters)
+    limiter_set_size = min(MAX_LIMITER_SET_SIZE, limiter_count)
     head = (
         f"{method} /{request_class}/{customer:016x} HTTP/1.1\r\n"
         f"Host: api.internal\r\n"
         f"X-Request-Id: {request_id}\r\n"
         f"X-Class: {request_class}\r\n"
-        f"X-Tariff: {PLANS[get_plan_index(customer)]}\r\n"
+        f"X-Tariff: {PLAN_NAMES[get_plan_index(customer)]}\r\n"
         f"X-Deadline-Ms: 3000\r\n"
         f"X-Weight: units=1,spread={limiter_set_size},first=0\r\n"
         f"{length}\r\n"
@@ -124,7 +143,7 @@
 
 
 class _ClientConnection(asyncio.Protocol):
-    """One connection, with one request on it at a time."""
+    """One connection to the limiter, with at most one request in flight."""
 
     def __init__(self, clients: Clients) -> None:
         self._clients = clients
@@ -154,11 +173,11 @@
         if head_length < 0 or self.request_id is None:
             return
         head = self._received[:head_length]
-        if len(self._received) < head_length + len(HEAD_END) + content_length(head):
+        if len(self._received) < head_length + len(HEAD_END) + parse_content_length(head):
             return
-        self._end_response(self.request_id, head)
+        self._complete_response(self.request_id, head)
 
-    def _end_response(self, request_id: bytes, head: bytes) -> None:
+    def _complete_response(self, request_id: bytes, head: bytes) -> None:
         self._received = b""
         self.request_id = None
         status = int(head.split(b" ", 2)[1])
--- a/scale/process/environment.py
+++ b/scale/process/environment.py
@@ -1,4 +1,4 @@
-"""The emulated peers around one limiter process, and what they count."""
+"""The emulated peers of one limiter process, and the counts that they keep."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from scale.process.counter import Counter
 from scale.process.discovery import Discovery
 from scale.process.endpoint_list import EndpointList
-from scale.process.fleet import CUSTOMER_IDS, build_settings
+from scale.process.fleet import CUSTOMER_ID_BOUND, build_settings
 from scale.process.gossip_peers import GossipPeers
 from scale.process.limiter_process import LimiterProcess
 from scale.process.plan import ProcessExperiment
@@ -23,28 +23,41 @@
 class Environment:
     """Servers, discovery, counter, gossip peers and clients of the limiter under test."""
 
-    # `start` makes both, as they need the addresses of the servers.
+    # Created by `start`, because they need the addresses of the servers.
     endpoints: EndpointList
     discovery: Discovery
 
-    def __init__(self, experiment: ProcessExperiment, servers: int, limiters: int, rng: Random) -> None:
-        """Make the emulated peers for a list of `servers` and a fleet of `limiters`; none is started."""
+    def __init__(
+        self, experiment: ProcessExperiment, server_count: int, limiter_count: int, rng: Random
+    ) -> None:
+        """Create the emulated peers without starting them.
+
+        Args:
+            experiment: the experiment.
+            server_count: number of servers in the endpoint list at first.
+            limiter_count: number of limiters in the fleet, including the one under test.
+            rng: source of all random values.
+        """
         self.experiment = experiment
-        self.limiters = limiters
-        self.servers = Servers(experiment.work_ms)
-        self.counter = Counter(experiment.counter_per_s)
-        # None until the limiter is ready and `start_clients` is called.
+        self.limiter_count = limiter_count
+        self.servers = Servers(experiment.service_time_ms)
+        self.counter = Counter(experiment.max_counter_calls_per_s)
+        # None until `start_clients` is called, which is once the limiter is ready.
         self.clients: Clients | None = None
-        self.delays_s: list[float] = []  # how late each action of this phase was
-        self._endpoint_count = servers
+        self.action_delays_s: list[float] = []  # how late each action of this phase was called
+        self._server_count = server_count
         self._rng = rng
-        self._customers = rng.sample(range(CUSTOMER_IDS), experiment.customers)
-        self.peers = GossipPeers(limiters, self._customers, experiment.entries, rng)
+        self._customers = rng.sample(range(CUSTOMER_ID_BOUND), experiment.customers)
+        self.peers = GossipPeers(limiter_count, self._customers, experiment.customers_per_message, rng)
+
+    async def start(self, directory: Path) -> LimiterProcess:
+        """Start all emulated peers except the clients, then the limiter.
 
-    async def start(self, folder: Path) -> LimiterProcess:
-        """Start all emulated peers but the clients, then the limiter with its configuration in `folder`."""
-        await self.servers.start(self.experiment.listeners)
-        self.endpoints = EndpointList(self._endpoint_count, self.servers.addresses)
+        Args:
+            directory: directory for the configuration file of the limiter.
+        """
+        await self.servers.start(self.experiment.server_listeners)
+        self.endpoints = EndpointList(self._server_count, self.servers.addresses)
         self.discovery = Discovery(self.endpoints)
         self.peers.start()
         config = {
@@ -54,16 +67,16 @@
             "counter": await self.counter.start(),
             "seed": f"{self._rng.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "settings": build_settings(self.limiters, self.experiment.discovery),
+            "settings": build_settings(self.limiter_count, self.experiment.discovery),
             **self.peers.build_config(),
         }
-        if self.experiment.has_known_list:
+        if self.experiment.has_configured_endpoints:
             config["known"] = self.endpoints.decode_full_list()
-        return await LimiterProcess.start(config, folder)
+        return await LimiterProcess.start(config, directory)
 
     def start_clients(self, address: tuple[str, int]) -> Clients:
-        """Make the clients of a limiter that is ready."""
-        self.clients = Clients(address, self.limiters, self._customers, self.servers, self._rng)
+        """Create the clients of the limiter, which must be ready."""
+        self.clients = Clients(address, self.limiter_count, self._customers, self.servers, self._rng)
         return self.clients
 
     def close(self) -> None:
@@ -75,8 +88,8 @@
         if self.clients is not None:
             self.clients.close()
 
-    def counts(self) -> Tally[str]:
-        """All that was counted so far, by the keys of the result lines."""
+    def collect_counts(self) -> Tally[str]:
+        """Return all counts since the start, by the keys of the result lines."""
         tally = Tally(
             watches=self.discovery.calls,
             changes=self.endpoints.change_count,
@@ -84,26 +97,26 @@
             counter_calls=self.counter.accepted_calls + self.counter.busy_calls,
             counter_busy=self.counter.busy_calls,
             datagrams_in=self.peers.datagrams_sent,
-            datagrams_out=self.peers.received,
+            datagrams_out=self.peers.datagrams_received,
         )
-        traffics = {
+        traffic_by_peer = {
             "discovery": self.discovery.traffic,
             "counter": self.counter.traffic,
             "peers": self.peers.traffic,
             "nodes": self.servers.traffic,
         }
-        for name, traffic in traffics.items():
+        for name, traffic in traffic_by_peer.items():
             tally[f"{name}_bytes_in"] = traffic.bytes_in
             tally[f"{name}_bytes_out"] = traffic.bytes_out
         return tally
 
-    async def repeat(self, action: Callable[[], None], per_s: float, seconds: float) -> None:
-        """Call `action` at that rate, evenly, from now on; a late call shifts none of the later ones."""
-        if not per_s:
+    async def call_at_rate(self, action: Callable[[], None], calls_per_s: float, duration_s: float) -> None:
+        """Call `action` at even intervals for `duration_s`. A late call does not delay the later ones."""
+        if not calls_per_s:
             return
         started_at = time.monotonic()
-        for index in range(round(per_s * seconds)):
-            due = started_at + (index + 0.5) / per_s
-            await asyncio.sleep(due - time.monotonic())
-            self.delays_s.append(time.monotonic() - due)
+        for index in range(round(calls_per_s * duration_s)):
+            due_at = started_at + (index + 0.5) / calls_per_s
+            await asyncio.sleep(due_at - time.monotonic())
+            self.action_delays_s.append(time.monotonic() - due_at)
             action()
--- a/scale/process/phases.py
+++ b/scale/process/phases.py
@@ -1,4 +1,4 @@
-"""Phases of load on one limiter process, and the figures of each."""
+"""Phases of load on one limiter process, and the figures measured in each phase."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 from scale.process.limiter_process import LimiterProcess
 from scale.process.plan import ProcessExperiment
 
-# Time from the last request until a missing response counts as lost: the request's deadline and a second.
+# Time after the last request of a phase until missing responses count as lost: the deadline of a request plus
+# one second.
 RESPONSE_TIMEOUT_SECONDS = 4.0
-# Highest latency that the histogram holds.
+# Highest latency that the histogram can record.
 MAX_LATENCY_US = 60_000_000
 
 
 class ResponseFigures(TypedDict):
-    """Responses to the clients' requests of a phase."""
+    """Responses to the requests of a phase. `added_*` is the latency that the limiter adds."""
 
     requests: int
     answers: dict[str, int]  # number of responses by status
@@ -36,7 +37,7 @@
 
 
 class FleetFigures(TypedDict):
-    """Load of a whole fleet of limiters on the roles that they share."""
+    """Load of a whole fleet of limiters on the services that they share."""
 
     counter_calls_a_request: float
     counter_calls_per_s: float
@@ -48,147 +49,153 @@
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """What emulated peers do in a phase, by their rates a second."""
+    """A phase, with the rates per second at which the emulated peers generate load."""
 
     name: str
-    datagrams: float = 0.0
-    changes: float = 0.0
-    requests: float = 0.0
+    gossip_message_rate: float = 0.0
+    change_rate: float = 0.0
+    request_rate: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Measurement:
-    """Time of a phase, processor time of the limiter, and what the emulated peers counted meanwhile."""
+class PhaseMeasurement:
+    """Measurements during one phase."""
 
-    seconds: float
+    duration_s: float
     processor_seconds: float  # processor time of the limiter
-    counts: Tally[str]  # what the emulated peers counted
+    counts: Tally[str]  # counts of the emulated peers, by the keys of the result lines
 
     @property
-    def cores(self) -> float:
-        """Processor seconds of the limiter a second."""
-        return round(self.processor_seconds / self.seconds, 4)
+    def cores_used(self) -> float:
+        """Processor time of the limiter, in seconds per second."""
+        return round(self.processor_seconds / self.duration_s, 4)
 
 
-def phases_of(experiment: ProcessExperiment) -> tuple[Phase, ...]:
-    """Each phase has the load of the one before and one kind more, whose cost is the difference."""
-    datagrams = experiment.datagrams_per_s
-    changes = experiment.changes_per_s
+def make_phases(experiment: ProcessExperiment) -> tuple[Phase, ...]:
+    """Return the phases. Each adds a kind of load to the previous phase; the difference is its cost."""
+    gossip_message_rate = experiment.datagrams_per_s
+    change_rate = experiment.changes_per_s
     return (
         Phase("idle"),
-        Phase("datagrams", datagrams),
-        Phase("changes", datagrams, changes),
-        Phase("load", datagrams, changes, experiment.requests_per_s),
+        Phase("datagrams", gossip_message_rate),
+        Phase("changes", gossip_message_rate, change_rate),
+        Phase("load", gossip_message_rate, change_rate, experiment.requests_per_s),
     )
 
 
-async def play_phases(environment: Environment, limiter: LimiterProcess) -> list[ResultLine]:
-    """Run all phases on a limiter that is ready; return the figures of each."""
+async def run_phases(environment: Environment, limiter: LimiterProcess) -> list[ResultLine]:
+    """Run all phases on a limiter that is ready; return the figures of each phase."""
     assert limiter.address is not None
     clients = environment.start_clients(limiter.address)
     lines: list[ResultLine] = []
-    cores_before: float | None = None  # figure of the phase before
-    for phase in phases_of(environment.experiment):
+    previous_cores_used: float | None = None  # cores used in the previous phase
+    for phase in make_phases(environment.experiment):
         await asyncio.sleep(environment.experiment.settle_s)
-        measurement = await _play_phase(environment, limiter, clients, phase)
+        measurement = await _run_phase(environment, limiter, clients, phase)
         await _wait_for_responses(clients)
-        additional_cores = 0.0 if cores_before is None else measurement.cores - cores_before
-        cores_before = measurement.cores
+        additional_cores = (
+            0.0 if previous_cores_used is None else measurement.cores_used - previous_cores_used
+        )
+        previous_cores_used = measurement.cores_used
         lines.append(
             {
-                **_cost_figures(phase, measurement, additional_cores),
-                **_response_figures(clients),
-                "stand_ins_late_p99_ms": _percentile_ms(environment.delays_s, 99.0),
-                "tier": _fleet_figures(environment, phase, measurement.counts, clients.sent),
+                **_compute_cost_figures(phase, measurement, additional_cores),
+                **_compute_response_figures(clients),
+                "stand_ins_late_p99_ms": _compute_percentile_ms(environment.action_delays_s, 99.0),
+                "tier": _compute_fleet_figures(environment, phase, measurement.counts, clients.requests_sent),
             }
         )
     return lines
 
 
-async def _play_phase(
+async def _run_phase(
     environment: Environment, limiter: LimiterProcess, clients: Clients, phase: Phase
-) -> Measurement:
+) -> PhaseMeasurement:
     phase_s = environment.experiment.phase_s
-    environment.delays_s.clear()
-    counts_before = environment.counts()
+    environment.action_delays_s.clear()
+    counts_before = environment.collect_counts()
     started_at = time.monotonic()
-    processor_before = limiter.processor_seconds()
+    processor_seconds_before = limiter.read_processor_seconds()
     async with asyncio.TaskGroup() as group:
         group.create_task(asyncio.sleep(phase_s))
-        group.create_task(environment.repeat(environment.peers.send_message, phase.datagrams, phase_s))
-        group.create_task(environment.repeat(environment.discovery.apply_next_change, phase.changes, phase_s))
-        group.create_task(environment.repeat(clients.send_request, phase.requests, phase_s))
+        group.create_task(
+            environment.call_at_rate(environment.peers.send_message, phase.gossip_message_rate, phase_s)
+        )
+        group.create_task(
+            environment.call_at_rate(environment.discovery.apply_next_change, phase.change_rate, phase_s)
+        )
+        group.create_task(environment.call_at_rate(clients.send_request, phase.request_rate, phase_s))
     elapsed_s = time.monotonic() - started_at
-    processor_seconds = limiter.processor_seconds() - processor_before
-    counts = environment.counts()
+    processor_seconds = limiter.read_processor_seconds() - processor_seconds_before
+    counts = environment.collect_counts()
     counts.subtract(counts_before)
-    return Measurement(elapsed_s, processor_seconds, counts)
+    return PhaseMeasurement(elapsed_s, processor_seconds, counts)
 
 
 async def _wait_for_responses(clients: Clients) -> None:
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(RESPONSE_TIMEOUT_SECONDS):
-            await clients.wait_until_all_ended()
+            await clients.wait_until_all_requests_ended()
 
 
-def _cost_figures(phase: Phase, measurement: Measurement, additional_cores: float) -> ResultLine:
-    """Time, processor time and counts of a phase, and the cost of one of what it adds to the phase before."""
+def _compute_cost_figures(phase: Phase, measurement: PhaseMeasurement, additional_cores: float) -> ResultLine:
+    """Return duration, processor time and counts of a phase, and the cost of one unit of the added load."""
     figures: dict[str, object] = {
         "phase": phase.name,
-        "seconds": round(measurement.seconds, 3),
-        "core": measurement.cores,
+        "seconds": round(measurement.duration_s, 3),
+        "core": measurement.cores_used,
     }
     for name, count in sorted(measurement.counts.items()):
-        figures[name] = round(count / measurement.seconds, 1) if "bytes" in name else count
-    additions = {
-        "datagrams": ("processor_ms_a_datagram", phase.datagrams),
-        "changes": ("processor_ms_a_change", phase.changes),
-        "load": ("processor_ms_a_request", phase.requests),
+        figures[name] = round(count / measurement.duration_s, 1) if "bytes" in name else count
+    added_load_by_phase = {
+        "datagrams": ("processor_ms_a_datagram", phase.gossip_message_rate),
+        "changes": ("processor_ms_a_change", phase.change_rate),
+        "load": ("processor_ms_a_request", phase.request_rate),
     }
-    for phase_name, (figure, per_s) in additions.items():
-        is_added = phase_name == phase.name and per_s > 0
-        figures[figure] = round(1000 * additional_cores / per_s, 4) if is_added else None
+    for phase_name, (cost_key, added_rate) in added_load_by_phase.items():
+        is_added_by_phase = phase_name == phase.name and added_rate > 0
+        figures[cost_key] = round(1000 * additional_cores / added_rate, 4) if is_added_by_phase else None
     return figures
 
 
-def _response_figures(clients: Clients) -> ResponseFigures:
-    """Count responses by status, and measure the latency added to served requests.
+def _compute_response_figures(clients: Clients) -> ResponseFigures:
+    """Return the counts of responses by status, and the latency added to served requests.
 
-    That latency is the time from writing a request to reading its whole response, less the server's own time.
-    It includes what the emulated peers take of the same machine.
+    The added latency is the time from writing a request to reading its complete response, less the service
+    time of the server. It includes the time that the emulated peers take on the same machine.
     """
     return {
-        "requests": clients.sent,
-        "answers": {str(status): count for status, count in sorted(clients.statuses.items())},
-        "lost": clients.sent - clients.statuses.total(),
-        "added_p50_ms": _percentile_ms(clients.added_latencies_s, 50.0),
-        "added_p99_ms": _percentile_ms(clients.added_latencies_s, 99.0),
+        "requests": clients.requests_sent,
+        "answers": {str(status): count for status, count in sorted(clients.responses_by_status.items())},
+        "lost": clients.requests_sent - clients.responses_by_status.total(),
+        "added_p50_ms": _compute_percentile_ms(clients.added_latencies_s, 50.0),
+        "added_p99_ms": _compute_percentile_ms(clients.added_latencies_s, 99.0),
     }
 
 
-def _percentile_ms(seconds: list[float], percentile: float) -> float | None:
-    """Compute a percentile in ms; None without values."""
-    if not seconds:
+def _compute_percentile_ms(durations_s: list[float], percentile: float) -> float | None:
+    """Compute a percentile in milliseconds; None if there are no values."""
+    if not durations_s:
         return None
     histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
-    for value in seconds:
+    for value in durations_s:
         histogram.record_value(max(1, round(value * 1e6)))
     value_us: float = histogram.get_value_at_percentile(percentile)
     return value_us / 1000
 
 
-def _fleet_figures(
-    environment: Environment, phase: Phase, counts: Tally[str], requests: int
+def _compute_fleet_figures(
+    environment: Environment, phase: Phase, counts: Tally[str], request_count: int
 ) -> FleetFigures | None:
-    """The load of a fleet of such limiters on the roles that they share; None in a phase without requests."""
-    if not phase.requests:
+    """Return the load of a fleet of such limiters on shared services; None in a phase without requests."""
+    if not phase.request_rate:
         return None
     fleet = LimiterFleet(
-        limiters=environment.limiters,
+        limiters=environment.limiter_count,
         discovery_is_pushed=environment.experiment.discovery == "pushed",
-        changes_per_s=phase.changes,
-        requests_per_s=phase.requests,
-        counter_calls_per_request=counts["counter_calls"] / max(1, requests),
+        changes_per_s=phase.change_rate,
+        requests_per_s=phase.request_rate,
+        counter_calls_per_request=counts["counter_calls"] / max(1, request_count),
         gossip_intake_per_s=GOSSIP_INTAKE_PER_S,
     )
     load = compute_fleet_load(fleet)
