--- a/tests/scale/test_process_emulated_peers.py
+++ b/tests/scale/test_process_emulated_peers.py
@@ -190,7 +190,7 @@
             while (reply := replies.gets()) is not False:
                 received.append(reply)
     counter.close()
-    assert counter.traffic.bytes_in == len(b"$1\r\n1\r\n+PONG\r\n$3\r\n2.5\r\n")
+    assert counter.traffic.bytes_to_limiter == len(b"$1\r\n1\r\n+PONG\r\n$3\r\n2.5\r\n")
     assert received == [b"1", b"PONG", b"2.5"]
 
 
--- a/tests/scale/test_process_experiments.py
+++ b/tests/scale/test_process_experiments.py
@@ -108,7 +108,7 @@
 def test_the_load_of_a_fleet_whose_list_is_pushed() -> None:
     load_figures = compute_fleet_load(
         LimiterFleet(
-            limiters=200,
+            limiter_count=200,
             discovery_is_pushed=True,
             changes_per_s=0.44,
             requests_per_s=1.5,
@@ -135,7 +135,7 @@
 ) -> None:
     load_figures = compute_fleet_load(
         LimiterFleet(
-            limiters=7200,
+            limiter_count=7200,
             discovery_is_pushed=False,
             changes_per_s=changes_per_s,
             requests_per_s=requests_per_s,
