--- a/tests/support/fake_counter.py
+++ b/tests/support/fake_counter.py
@@ -6,7 +6,7 @@
 
 import hiredis
 
-from tests.support.fake_peer import FakePeer
+from tests.support.fake_service import FakePeer
 
 _READ_BYTES = 65536
 
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -8,7 +8,7 @@
 import time
 from typing import Any, NamedTuple
 
-from tests.support.fake_peer import FakePeer
+from tests.support.fake_service import FakePeer
 
 _CHECK_INTERVAL_SECONDS = 0.01
 
--- a/tests/support/fake_server.py
+++ b/tests/support/fake_server.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.support.fake_peer import FakePeer
+from tests.support.fake_service import FakePeer
 from tests.support.http_message import parse_head
 from tests.support.waiting import WAIT_TIMEOUT_SECONDS, wait_until
 
