--- a/tests/support/client.py
+++ b/tests/support/client.py
@@ -1,4 +1,4 @@
-"""Clients of a limiter under test: requests in the protocol's form, connections and responses."""
+"""The client side of tests: builds requests, and sends them to the limiter under test."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.support.http_message import parse_head
 from tests.support.waiting import WAIT_TIMEOUT_SECONDS
 
-CUSTOMER = "00000000b4d65521"
+CUSTOMER_ID = "00000000b4d65521"
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\n\r\n"
 REQUEST_ID = "9b1f03aa5c7e2d41"
 
@@ -21,7 +21,7 @@
     Attributes:
         status: the status code.
         headers: header values under their names in lower case.
-        body: the body without its framing.
+        body: the body, without its HTTP framing.
     """
 
     status: int
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Take the two streams of an open connection."""
+        """Wrap the two streams of an open connection."""
         self.reader = reader
         self.writer = writer
 
@@ -47,10 +47,10 @@
         self.writer.write(data)
 
     async def read_response(self) -> Response:
-        """Return the next response.
+        """Read the next response and return it.
 
         Raises:
-            asyncio.IncompleteReadError: the limiter closed the connection before the response's end.
+            asyncio.IncompleteReadError: the limiter closed the connection before the response was complete.
         """
         async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
             status_line, headers = parse_head(await self.reader.readuntil(b"\r\n\r\n"))
@@ -58,26 +58,26 @@
         return Response(int(status_line.split()[1]), headers, body)
 
     async def read_until_closed(self) -> bytes:
-        """Return all further bytes until the limiter closes the connection."""
+        """Read until the limiter closes the connection, and return all bytes read."""
         async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
             return await self.reader.read()
 
     def close(self) -> None:
-        """Close the connection towards the limiter."""
+        """Close the connection to the limiter."""
         self.writer.close()
 
 
 class RequestOptions(TypedDict, total=False):
-    """What a test may choose of a request beyond its class.
+    """Optional properties of a request, besides its class.
 
     Attributes:
-        request_id: the client's id of the request; REQUEST_ID if not given.
-        deadline_ms: time after which the client gives up; 3000 if not given.
-        body: the body of a POST; empty if not given.
-        query: appended to the path, with its question mark.
-        customer: identifier in the path; CUSTOMER if not given.
-        headers: headers that replace or extend those of the protocol.
-        without_header: name of a header to leave out.
+        request_id: the request's id, chosen by the client; REQUEST_ID by default.
+        deadline_ms: time after which the client stops waiting for the response; 3000 by default.
+        body: the body of a POST; empty by default.
+        query: the query of the request target, including its question mark; empty by default.
+        customer: the customer's identifier in the path; CUSTOMER_ID by default.
+        headers: headers that replace the default ones or are added to them.
+        without_header: name of a header to omit.
     """
 
     request_id: str
@@ -90,10 +90,13 @@
 
 
 def build_request(request_class: str = "read", **options: Unpack[RequestOptions]) -> bytes:
-    """Return a request in the protocol's form; `read` is a GET, the other classes are POSTs."""
+    """Build an HTTP request with the headers that the limiter expects.
+
+    A request of the class `read` is a GET; requests of all other classes are POSTs.
+    """
     method = "GET" if request_class == "read" else "POST"
     body = options.get("body", b"")
-    fields = {
+    header_values = {
         "Host": "api.internal",
         "X-Request-Id": options.get("request_id", REQUEST_ID),
         "X-Class": request_class,
@@ -102,10 +105,10 @@
         "X-Weight": "units=1,spread=1,first=0",
     }
     if method == "POST":
-        fields |= {"Idempotency-Key": "5c0f6e1a", "Content-Length": str(len(body))}
-    fields |= options.get("headers", {})
-    fields.pop(options.get("without_header", ""), None)
-    path = f"/{request_class}/{options.get('customer', CUSTOMER)}{options.get('query', '')}"
-    header_lines = [f"{name}: {value}" for name, value in fields.items()]
+        header_values |= {"Idempotency-Key": "5c0f6e1a", "Content-Length": str(len(body))}
+    header_values |= options.get("headers", {})
+    header_values.pop(options.get("without_header", ""), None)
+    path = f"/{request_class}/{options.get('customer', CUSTOMER_ID)}{options.get('query', '')}"
+    header_lines = [f"{name}: {value}" for name, value in header_values.items()]
     head = "\r\n".join([f"{method} {path} HTTP/1.1", *header_lines, "", ""])
     return head.encode() + body
--- a/tests/support/fake_counter.py
+++ b/tests/support/fake_counter.py
@@ -1,4 +1,4 @@
-"""Fake counter: adds up what limiters send it over RESP, and records the calls."""
+"""Fake counter: receives calls from limiters over RESP, adds their units up by key and records them."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 
 import hiredis
 
-from tests.support.fake_service import FakePeer
+from tests.support.fake_service import FakeService
 
 _READ_BYTES = 65536
 
 
-class FakeCounter(FakePeer):
-    """Keeps a total for each key.
+class FakeCounter(FakeService):
+    """Keeps the total of each key, and replies to each addition with the new total.
 
     Attributes:
-        totals: the totals by key.
-        calls: the arguments of each call so far.
+        totals_by_key: for each key, the sum of the units added to it.
+        calls: the arguments of each call received so far.
         delay_seconds: time from a call to its reply.
-        reply_override: bytes that are sent in place of each total; None for the totals themselves.
+        reply_override: bytes that are sent in place of each total; None to send the totals.
     """
 
     def __init__(self) -> None:
-        """Make a counter without totals, which does not listen yet."""
+        """Create a counter without totals that does not listen yet."""
         super().__init__()
-        self.totals: dict[bytes, float] = {}
+        self.totals_by_key: dict[bytes, float] = {}
         self.calls: list[list[bytes]] = []
         self.delay_seconds = 0.0
         self.reply_override: bytes | None = None
 
-    async def serve(
+    async def serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _connection_number: int
     ) -> None:
-        """Reply to the calls of the connection in their order."""
+        """Reply to the calls of one connection in the order received."""
         parser = hiredis.Reader()
         while data := await reader.read(_READ_BYTES):
             parser.feed(data)
@@ -47,6 +47,6 @@
             writer.write(b"+PONG\r\n")
             return
         _command, key, amount, *_time_to_live = call
-        self.totals[key] = self.totals.get(key, 0.0) + float(amount)
-        total = b"%g" % self.totals[key]
+        self.totals_by_key[key] = self.totals_by_key.get(key, 0.0) + float(amount)
+        total = b"%g" % self.totals_by_key[key]
         writer.write(self.reply_override or b"$%d\r\n%b\r\n" % (len(total), total))
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -1,4 +1,4 @@
-"""Fake discovery agent: publishes the endpoint list that a test gives it, and records the calls."""
+"""Fake discovery agent: publishes the endpoint list that a test provides, and records the calls."""
 
 from __future__ import annotations
 
@@ -8,40 +8,41 @@
 import time
 from typing import Any, NamedTuple
 
-from tests.support.fake_service import FakePeer
+from tests.support.fake_service import FakeService
 
 _CHECK_INTERVAL_SECONDS = 0.01
 
 
 class DiscoveryCall(NamedTuple):
-    """A call that a limiter made.
+    """A call from a limiter.
 
     Attributes:
-        at: when it came, in seconds of the monotonic clock.
-        target: its path with the query.
+        received_at: when the agent received it, in seconds of the monotonic clock.
+        target: the request target, which is the path with the query.
     """
 
-    at: float
+    received_at: float
     target: str
 
 
-class FakeDiscovery(FakePeer):
-    """Responds to a watch once there is a version that the caller does not know, or after its time-out.
+class FakeDiscovery(FakeService):
+    """Responds to a watch once the list is newer than the caller's version, or at the watch's timeout.
 
     Attributes:
-        version: number of the present list.
-        full_list: whether `entries` are the full list, and not only changes.
-        entries: the entries of its responses.
-        calls: the calls so far.
+        version: version number of the current list.
+        full_list: whether `entries` are the full list, and not the changes to the previous version.
+        entries: the entries that its responses contain.
+        calls: the calls received so far.
         response_times: when each response was sent, in seconds of the monotonic clock.
-        is_responding: False holds back all responses.
-        body_override: bytes that are sent in place of each list; None for the lists themselves.
-        status: the status of its responses.
-        ends_next_watch: True makes it respond to the open or next watch at once, and is reset by that.
+        is_responding: whether it sends responses; while this is False, all calls wait.
+        body_override: bytes that are sent in place of each list; None to send the lists.
+        status: the HTTP status of its responses.
+        ends_next_watch: if True, the open watch, or else the next one, gets a response at once, which resets
+            this to False.
     """
 
     def __init__(self) -> None:
-        """Make an agent with an empty list of version 1, which does not listen yet."""
+        """Create an agent that has an empty list of version 1 and does not listen yet."""
         super().__init__()
         self.version = 1
         self.full_list = True
@@ -54,26 +55,26 @@
         self.ends_next_watch = False
 
     def publish(self, *entries: dict[str, Any], full_list: bool = False) -> None:
-        """Publish a new version.
+        """Publish a new version of the list.
 
         Args:
-            entries: the entries that changed, or all of them.
-            full_list: whether these are all entries.
+            entries: the changed entries, or all entries of the list.
+            full_list: whether `entries` are all entries of the list.
         """
         self.entries = list(entries)
         self.full_list = full_list
         self.version += 1
 
-    async def serve(
+    async def serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _connection_number: int
     ) -> None:
-        """Respond to each call of the connection."""
+        """Respond to the calls of one connection in the order received."""
         while True:
             target = (await reader.readuntil(b"\r\n\r\n")).split()[1].decode()
             self.calls.append(DiscoveryCall(time.monotonic(), target))
-            known_version = _query_number(target, "since")
-            await self._wait_for_change(known_version, _query_number(target, "timeout_ms") or 0)
-            body = self.body_override or json.dumps(self._document(known_version)).encode()
+            known_version = _parse_query_number(target, "since")
+            await self._wait_for_change(known_version, _parse_query_number(target, "timeout_ms") or 0)
+            body = self.body_override or json.dumps(self._make_list_document(known_version)).encode()
             writer.write(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (self.status, len(body), body))
             self.response_times.append(time.monotonic())
 
@@ -89,7 +90,7 @@
     def _has_changed_since(self, known_version: int | None) -> bool:
         return known_version is None or known_version < self.version
 
-    def _document(self, known_version: int | None) -> dict[str, Any]:
+    def _make_list_document(self, known_version: int | None) -> dict[str, Any]:
         has_changed = self._has_changed_since(known_version)
         return {
             "generation": self.version,
@@ -98,6 +99,6 @@
         }
 
 
-def _query_number(target: str, name: str) -> int | None:
+def _parse_query_number(target: str, name: str) -> int | None:
     found = re.search(rf"{name}=(\d+)", target)
     return int(found[1]) if found else None
--- a/tests/support/fake_server.py
+++ b/tests/support/fake_server.py
@@ -1,4 +1,4 @@
-"""Fake servers: they record the requests that the limiter forwards, and respond as the test says."""
+"""Fake servers, which record the requests that the limiter forwards and respond as the test specifies."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from pathlib import Path
 from typing import Any
 
-from tests.support.fake_service import FakePeer
+from tests.support.fake_service import FakeService
 from tests.support.http_message import parse_head
 from tests.support.waiting import WAIT_TIMEOUT_SECONDS, wait_until
 
-_TCP_SYN_SENT = "02"  # The state of an unestablished connection in /proc/net/tcp.
+_TCP_SYN_SENT = "02"  # State, in /proc/net/tcp, of a connection not yet established.
 
 
 @dataclass(frozen=True)
@@ -24,8 +24,8 @@
     Attributes:
         request_line: the request line.
         headers: header values under their names in lower case.
-        body: the body without its framing.
-        connection_number: number of the server's connection that it came on, the first one's is 1.
+        body: the body, without its HTTP framing.
+        connection_number: number of the connection on which it arrived, counted from 1 for each server.
     """
 
     request_line: str
@@ -35,11 +35,11 @@
 
 
 Responder = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
-"""Writes a response to a request, or does without."""
+"""Writes the response to a request, or leaves the request without a response."""
 
 
 def respond_with(status: int, body: bytes = b"", *headers: str) -> Responder:
-    """Return a responder that responds with this status, body and further header lines."""
+    """Return a responder that sends this status, body and additional header lines."""
 
     async def respond(_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers, "", ""]
@@ -73,53 +73,56 @@
 
 
 async def reset_connection(_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    """Reset the connection in place of a response."""
+    """Reset the connection without a response."""
     writer.transport.abort()
 
 
 class HeldResponses:
-    """A responder that holds all responses back until the test releases them.
+    """A responder that delays all responses until the test calls `release`.
 
     Attributes:
-        writers: the streams to the limiter, one for each response that is held.
+        writers: the streams to the limiter, one for each delayed response.
     """
 
     def __init__(self) -> None:
-        """Hold the responses to all requests from now on."""
+        """Create a responder without delayed responses."""
         self.writers: list[asyncio.StreamWriter] = []
 
     async def __call__(self, _request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        """Hold the response to one request."""
+        """Delay the response to one request."""
         self.writers.append(writer)
 
     def release(self, status: int = 200) -> None:
-        """Write all held responses, with this status; they are in the limiter's kernel on return."""
+        """Write all delayed responses with this status.
+
+        On return, the kernel holds them in the receive buffers of the limiter's sockets.
+        """
         for writer in self.writers:
             writer.write(b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n" % status)
         self.writers.clear()
 
 
 def list_request_ids(received: Iterable[ReceivedRequest]) -> list[str]:
-    """Return the clients' ids of requests as servers received them."""
+    """Return the ids that the clients gave these requests, in the same order."""
     return [request.headers["x-request-id"] for request in received]
 
 
-class FakeServer(FakePeer):
-    """A server of the shared API.
+class FakeServer(FakeService):
+    """A fake server of the API that the limiter protects.
 
     Attributes:
-        key: its name in endpoint lists.
-        zone: the zone that it is listed in.
-        received_requests: the requests that it received so far.
-        responder: writes its responses; by default status 200 with the server's name.
+        key: its id in endpoint lists.
+        zone: its zone in endpoint lists.
+        received_requests: the requests received so far.
+        responder: writes its responses; by default, status 200 with a body that names the server.
     """
 
     def __init__(self, key: str, zone: str = "a") -> None:
-        """Make a server that does not listen yet.
+        """Create a server that does not listen yet.
 
         Args:
-            key: its name in endpoint lists.
-            zone: the zone that it is listed in.
+            key: its id in endpoint lists.
+            zone: its zone in endpoint lists.
         """
         super().__init__()
         self.key = key
@@ -127,10 +130,10 @@
         self.received_requests: list[ReceivedRequest] = []
         self.responder: Responder = respond_with(200, f"from {key}".encode())
 
-    async def serve(
+    async def serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection_number: int
     ) -> None:
-        """Record each request of the connection and respond to it."""
+        """Record the requests of one connection and respond to them in the order received."""
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             length = re.search(rb"(?i)content-length: (\d+)", head)
@@ -140,11 +143,11 @@
             await self.responder(request, writer)
 
     def make_list_entry(self, state: str = "active", **changes: Any) -> dict[str, Any]:
-        """Return this server's entry of an endpoint list.
+        """Return this server's entry in an endpoint list.
 
         Args:
             state: its lifecycle state.
-            changes: values that replace those of a server that started long ago.
+            changes: values that replace the default ones; by default, the server started long ago.
         """
         entry = {
             "instanceId": self.key,
@@ -160,28 +163,33 @@
 
 
 class SlowAcceptServer(FakeServer):
-    """A server that completes no connection until `open`, because its listen backlog is full until then."""
+    """A server to which connections are not established until `accept_connections` is called.
+
+    Until then, its listen backlog is full.
+    """
 
     async def listen(self) -> None:
-        """Listen with the shortest backlog, and fill that."""
+        """Listen with the shortest possible backlog, and fill it with one connection."""
         self.writers = []
-        self.listening = socket.socket()
-        self.listening.bind(("127.0.0.1", 0))
-        self.listening.listen(0)
-        self.port = self.listening.getsockname()[1]
-        self.filler = socket.socket()
-        self.filler.connect(("127.0.0.1", self.port))
+        self.listening_socket = socket.socket()
+        self.listening_socket.bind(("127.0.0.1", 0))
+        self.listening_socket.listen(0)
+        self.port = self.listening_socket.getsockname()[1]
+        self.backlog_filling_socket = socket.socket()
+        self.backlog_filling_socket.connect(("127.0.0.1", self.port))
 
     def count_pending_connections(self) -> int:
-        """Return how many connections to here are not established yet, by the kernel's table."""
+        """Return how many connections to this server the kernel lists as not yet established."""
         address = f"0100007F:{self.port:04X}"
         rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
         return sum(row[2] == address and row[3] == _TCP_SYN_SENT for row in rows)
 
     async def accept_connections(self) -> None:
-        """Accept connections from now on; return once none is pending any more."""
-        self.listening.setblocking(False)
-        self.listening.listen(16)
-        self.listening_server = await asyncio.start_server(self._connected, sock=self.listening)
-        self.filler.close()
-        await wait_until(lambda: not self.count_pending_connections(), "every dial has succeeded or ended")
+        """Accept connections from now on, and wait until no connection is pending."""
+        self.listening_socket.setblocking(False)
+        self.listening_socket.listen(16)
+        self.listening_server = await asyncio.start_server(
+            self._handle_connection, sock=self.listening_socket
+        )
+        self.backlog_filling_socket.close()
+        await wait_until(lambda: not self.count_pending_connections(), "no connection attempt is pending")
--- a/tests/support/http_message.py
+++ b/tests/support/http_message.py
@@ -1,10 +1,10 @@
-"""Parsing of HTTP/1.1 heads, for the clients and the servers of tests."""
+"""Parsing of the heads of HTTP/1.1 messages, for the clients and the fake servers of tests."""
 
 from __future__ import annotations
 
 
 def parse_head(head: bytes) -> tuple[str, dict[str, str]]:
-    """Return the first line of a head, and its headers under their names in lower case."""
+    """Return the start line of a message head, and its header values by their names in lower case."""
     first_line, *header_lines = head.decode().split("\r\n")
     headers = {}
     for line in header_lines:
