--- a/tests/support/in_process_limiter.py
+++ b/tests/support/in_process_limiter.py
@@ -1,4 +1,4 @@
-"""A limiter in the event loop of the test, and clients that are independent of the loop's turns."""
+"""A limiter that runs in the test's event loop, and a client that sends without the event loop."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     """Run a limiter in the running event loop; it reads from its sockets only while the test awaits.
 
     Args:
-        servers: the servers of its endpoint list, which are started here.
+        servers: the servers in its endpoint list; they are started here.
     """
     endpoints = []
     for server in servers:
@@ -43,10 +43,12 @@
 
 
 class RawClient:
-    """A client whose bytes reach the limiter's kernel at once, without a turn of the event loop.
+    """A client that writes directly to its socket.
+
+    Its bytes are in the limiter's receive buffer before the event loop runs again.
 
     Attributes:
-        socket: its connected socket, which does not block.
+        socket: its connected, non-blocking socket.
     """
 
     def __init__(self, listener: Listener) -> None:
@@ -55,14 +57,14 @@
         self.socket.setblocking(False)
 
     def send(self, data: bytes) -> None:
-        """Send these bytes, which must fit into the buffers of both sockets."""
+        """Send these bytes, which must fit into the socket buffers of both ends."""
         self.socket.sendall(data)
 
     async def read_response(self) -> Response:
-        """Return the next response.
+        """Read the next response and return it.
 
         Raises:
-            asyncio.IncompleteReadError: the limiter closed the connection before the response's end.
+            asyncio.IncompleteReadError: the limiter closed the connection before the response was complete.
             ConnectionResetError: the limiter reset the connection.
         """
         reader = asyncio.StreamReader()
--- a/tests/support/limiter_settings.py
+++ b/tests/support/limiter_settings.py
@@ -1,11 +1,11 @@
-"""Settings and configurations of a limiter under test, in the nested form of its configuration file."""
+"""Settings and configurations of a limiter under test, in the JSON form of its configuration file."""
 
 from __future__ import annotations
 
 import copy
 from typing import Any
 
-_COMMON_TO_CLASSES = {
+_COMMON_CLASS_SETTINGS = {
     "aim": 1000.0,
     "deadline": 4000.0,
     "worth": 1.0,
@@ -13,13 +13,13 @@
     "group": "all",
     "window": 5000.0,
 }
-_LONE_LIMITER_WITHOUT_QUOTA: dict[str, Any] = {
+_SINGLE_LIMITER_SETTINGS: dict[str, Any] = {
     "me": 0,
     "peersTotal": 1,
     "classes": [
-        {**_COMMON_TO_CLASSES, "name": "read", "effect": "repeatable"},
-        {**_COMMON_TO_CLASSES, "name": "submit", "effect": "by_key", "group": "zone"},
-        {**_COMMON_TO_CLASSES, "name": "order", "effect": "once"},
+        {**_COMMON_CLASS_SETTINGS, "name": "read", "effect": "repeatable"},
+        {**_COMMON_CLASS_SETTINGS, "name": "submit", "effect": "by_key", "group": "zone"},
+        {**_COMMON_CLASS_SETTINGS, "name": "order", "effect": "once"},
     ],
     "contracts": [{"name": "free", "quotaRate": 0.0, "peakUnits": 0.0, "valueFactor": 1.0}],
     "extra": {"mayCount": False, "countLimit": 50.0, "maxUnits": 1},
@@ -34,23 +34,23 @@
 
 
 def make_raw_settings(**changes: Any) -> dict[str, Any]:
-    """Return settings of a lone limiter without quota.
+    """Return the settings of a single limiter whose plan has no quota.
 
-    There is one class of each idempotency: `read` is idempotent, `submit` has an idempotency key and `order`
-    must not run twice.
+    There is one request class for each kind of idempotency: `read` is idempotent, `submit` has idempotency
+    keys, and `order` is not idempotent.
 
     Args:
-        changes: values that replace those of whole top-level keys.
+        changes: top-level keys that are added or replaced.
     """
-    return {**copy.deepcopy(_LONE_LIMITER_WITHOUT_QUOTA), **changes}
+    return {**copy.deepcopy(_SINGLE_LIMITER_SETTINGS), **changes}
 
 
 def make_raw_settings_with_quota(rate: float, burst: float) -> dict[str, Any]:
-    """Return settings of one of two limiters whose plan has a quota, and which use the counter.
+    """Return the settings of one of two limiters that use the counter and whose plan has a quota.
 
     Args:
-        rate: units a second.
-        burst: units that may be used at once.
+        rate: the quota's rate, in units per second.
+        burst: the quota's burst, in units.
     """
     plan = {"name": "free", "quotaRate": rate, "peakUnits": burst, "valueFactor": 1.0}
     extra = {"mayCount": True, "countLimit": 50.0, "maxUnits": 1}
@@ -58,10 +58,10 @@
 
 
 def make_raw_config(**changes: Any) -> dict[str, Any]:
-    """Return a configuration whose discovery and counter refuse connections.
+    """Return a configuration whose addresses of discovery and counter refuse connections.
 
     Args:
-        changes: values that replace those of whole top-level keys.
+        changes: top-level keys that are added or replaced.
     """
     document = {
         "name": "n0",
@@ -76,5 +76,5 @@
 
 
 def make_configured_endpoint_list(*entries: dict[str, Any]) -> dict[str, Any]:
-    """Return a configuration's known endpoint list, version 1, with these entries."""
+    """Return an endpoint list, version 1, with these entries, as a configuration contains it."""
     return {"generation": 1, "reset": True, "instances": list(entries)}
