--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -1,8 +1,13 @@
-"""A small in-memory driver: feeds events to one PolicyEngine and checks that each action is allowed.
+"""In-memory driver of one PolicyEngine: delivers events to it and checks that each action is allowed.
 
-It simulates nothing: outcomes are whatever the test (or hypothesis) picks among the legal ones. Checked are:
-one final answer for a request, and no attempt after it; no second run of what may run once only; attempts to
-ready servers alone, within the client's time, one at once and no more than the settings allow.
+The driver simulates no servers: the test, or hypothesis, chooses the outcome of each attempt. The driver
+checks that:
+
+- a request gets at most one final answer, and no attempt after it;
+- a request that must not run twice is not sent again if it may have run;
+- attempts go to ready servers only, and time out no later than the client does;
+- a request has one attempt in flight at a time, unless the settings allow hedging, and in total no more
+  attempts than the settings allow.
 """
 
 from __future__ import annotations
@@ -37,25 +42,29 @@
 from limiter.policy.engine import PolicyEngine
 from limiter.policy.server_table import Server
 
-# The driver's own list, so that a change of the model's list does not change the check.
-NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.REQUEST_ENDED}
+# Defined here independently of the model's set, so that a change there does not change the check.
+NOT_EXECUTED_OUTCOMES = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.REQUEST_ENDED}
 TIME_TOLERANCE_MS = 1e-6
 
 
 def make_endpoint_id(index: int) -> bytes:
-    """The id of server `index`: its address and port."""
+    """Return the id of server `index`: its IPv4 address and port."""
     return bytes([10, 0, 0, index, 31, 147])
 
 
 def make_endpoint(
     index: int, state: EndpointState = EndpointState.READY, start_time: float = 0.0
 ) -> Endpoint:
-    """Server `index`; its zone is the index modulo 2, its cell the index modulo 3."""
+    """Return the endpoint of server `index`; its zone is the index modulo 2, its cell the index modulo 3."""
     return Endpoint(make_endpoint_id(index), state, zone=index % 2, cell=index % 3, started_at=start_time)
 
 
 def make_settings(**changes: object) -> Settings:
-    """Settings of limiter 0 of 3, with a class for each idempotency and scope, but for `changes`."""
+    """Return settings of limiter 0 of 3, with a request class for each idempotency and deduplication scope.
+
+    Args:
+        changes: values of fields that replace the default ones.
+    """
     values: dict[str, object] = {
         "limiter_index": 0,
         "limiter_count": 3,
@@ -85,33 +94,33 @@
 
 @dataclass
 class SentAttempt:
-    """An attempt that the engine sent; `attempt` is its number among those of its request."""
+    """An attempt that the engine sent; `attempt_number` counts the attempts of its request from 0."""
 
     request_id: int
-    attempt: int
+    attempt_number: int
     endpoint_id: bytes
     sent_at: float
     timeout: float
-    may_have_run: bool = True  # as far as the engine can know
-    in_flight: bool = True
+    may_have_run: bool = True  # as far as the engine can tell
+    is_in_flight: bool = True
 
     @property
     def times_out_at(self) -> float:
-        """When the engine wants it given up."""
+        """Time at which the attempt times out."""
         return self.sent_at + self.timeout
 
 
 class RequestOptions(TypedDict, total=False):
-    """What a test may say of a request beyond its class, plan and customer."""
+    """Optional properties of a request, besides its class, plan and customer."""
 
     units: float
-    limiters_in_set: float  # limiters that may get the customer's requests
-    first_limiter: float  # number of the first of these
-    client_timeout: float  # ms until the client gives up
+    limiters_in_set: float  # number of limiters that may get the customer's requests
+    first_limiter: float  # index of the first of these limiters
+    client_timeout: float  # ms until the client stops waiting
 
 
-class EndReport(TypedDict, total=False):
-    """What a server or its connection may say at the end of an attempt."""
+class AttemptEndOptions(TypedDict, total=False):
+    """Optional fields of AttemptEnded."""
 
     stale_connection: bool
     billed_units: float
@@ -120,24 +129,37 @@
 
 @dataclass
 class PolicyDriver:
-    """One engine, the time, and what it did so far; each of its actions is checked as it comes."""
+    """Drives one engine and checks each of its actions.
+
+    Attributes:
+        engine: the engine under test.
+        settings: its settings.
+        now: the current time, in ms.
+        endpoints: the listed endpoints by id; those that were removed from the list are in state GONE.
+        requests: all requests by id.
+        final_answers: for each request that is over, the name of the final action, "served", or "gone" if the
+            client disconnected.
+        sent_attempts: the attempts of each request, in the order sent.
+        pending_counter_calls: the counter calls that have no reply yet, the oldest first.
+        pending_timers: time and token of each timer that has not fired.
+        actions: all actions of the engine.
+        admissions: time, customer and units of each admitted request.
+    """
 
     engine: PolicyEngine
     settings: Settings
     now: float = 0.0
     endpoints: dict[bytes, Endpoint] = field(default_factory=dict)
     requests: dict[int, ClientRequest] = field(default_factory=dict)
-    final_answers: dict[int, str] = field(
-        default_factory=dict
-    )  # by request: the action's name, "served" or "gone"
-    sent_attempts: dict[int, list[SentAttempt]] = field(default_factory=dict)  # by request
-    pending_counter_calls: list[IncrementCounter] = field(default_factory=list)  # not yet answered
-    pending_timers: list[tuple[float, int]] = field(default_factory=list)  # time and token
+    final_answers: dict[int, str] = field(default_factory=dict)
+    sent_attempts: dict[int, list[SentAttempt]] = field(default_factory=dict)
+    pending_counter_calls: list[IncrementCounter] = field(default_factory=list)
+    pending_timers: list[tuple[float, int]] = field(default_factory=list)
     actions: list[Action] = field(default_factory=list)
-    admissions: list[tuple[float, int, float]] = field(default_factory=list)  # time, customer, units
+    admissions: list[tuple[float, int, float]] = field(default_factory=list)
 
     def deliver_event(self, event: Event) -> list[Action]:
-        """Hand an event to the engine now; check, keep and return its actions."""
+        """Pass an event to the engine at the current time; check, record and return the resulting actions."""
         match event:
             case EndpointsChanged():
                 self._update_endpoints(event)
@@ -149,7 +171,7 @@
                 pass
         actions = self.engine.handle(self.now, event)
         for action in actions:
-            self._check(action)
+            self._check_action(action)
         self.actions += actions
         return actions
 
@@ -160,18 +182,20 @@
                 self.endpoints[key] = replace(self.endpoints[key], state=EndpointState.GONE)
         self.endpoints.update(listed)
 
-    def _check(self, action: Action) -> None:
+    def _check_action(self, action: Action) -> None:
         match action:
             case SendAttempt():
                 self._check_attempt(action)
             case RejectRequest(request_id) | FailRequest(request_id):
-                assert request_id in self.requests, "answered a request that there is not"
-                assert request_id not in self.final_answers, "answered twice"
+                assert request_id in self.requests, "answered an unknown request"
+                assert request_id not in self.final_answers, "answered a request twice"
                 if isinstance(action, RejectRequest):
                     self._check_rejection(request_id)
                 self.final_answers[request_id] = type(action).__name__
             case CancelAttempt(request_id, attempt):
-                assert attempt < len(self.sent_attempts[request_id]), "cancelled an attempt never made"
+                assert attempt < len(self.sent_attempts[request_id]), (
+                    "cancelled an attempt that was never sent"
+                )
             case IncrementCounter():
                 self.pending_counter_calls.append(action)
             case SetTimer(delay, token):
@@ -183,53 +207,75 @@
         """Check that the attempt is allowed, and record it."""
         request_id, timeout = action.request_id, action.timeout
         request = self.requests[request_id]
-        before = self.sent_attempts.setdefault(request_id, [])
-        assert request_id not in self.final_answers, "sent after the final answer"
-        assert len(before) < self.settings.max_attempts
+        earlier_attempts = self.sent_attempts.setdefault(request_id, [])
+        assert request_id not in self.final_answers, "sent an attempt after the final answer"
+        assert len(earlier_attempts) < self.settings.max_attempts
         is_ready = self.endpoints[action.endpoint_id].state is EndpointState.READY
-        assert is_ready, "sent to a draining or gone server"
+        assert is_ready, "sent an attempt to a server that is not ready"
         time_left = request.expires_at - self.now
-        assert 0 < timeout <= time_left + TIME_TOLERANCE_MS, "time-out past the client's"
-        assert self.settings.may_hedge or not any(sent.in_flight for sent in before), "two attempts at once"
-        may_have_run = [sent for sent in before if sent.may_have_run]
+        assert 0 < timeout <= time_left + TIME_TOLERANCE_MS, (
+            "the timeout is not positive or ends after the client's"
+        )
+        assert self.settings.may_hedge or not any(sent.is_in_flight for sent in earlier_attempts), (
+            "two attempts in flight without hedging"
+        )
+        may_have_run = [sent for sent in earlier_attempts if sent.may_have_run]
         if may_have_run:
-            self._check_resend(request, first=may_have_run[0], to=self.endpoints[action.endpoint_id])
-        if not before:
+            self._check_retry(
+                request, first_attempt=may_have_run[0], retry_server=self.endpoints[action.endpoint_id]
+            )
+        if not earlier_attempts:
             self.admissions.append((self.now, request.customer, request.units))
-        before.append(SentAttempt(request_id, len(before), action.endpoint_id, self.now, timeout))
+        earlier_attempts.append(
+            SentAttempt(request_id, len(earlier_attempts), action.endpoint_id, self.now, timeout)
+        )
 
-    def _check_resend(self, request: ClientRequest, first: SentAttempt, to: Endpoint) -> None:
-        """Check that a request may be sent to `to` although its attempt `first` may have run."""
+    def _check_retry(
+        self, request: ClientRequest, first_attempt: SentAttempt, retry_server: Endpoint
+    ) -> None:
+        """Check that a request may be retried at `retry_server` although `first_attempt` may have run it."""
         request_class = self.settings.request_classes[request.request_class]
         idempotency, scope = request_class.idempotency, request_class.dedup_scope
-        assert idempotency is not Idempotency.NOT_IDEMPOTENT, "resent though it may have run"
+        assert idempotency is not Idempotency.NOT_IDEMPOTENT, (
+            "retried a request that may have run and is not idempotent"
+        )
         if idempotency is Idempotency.IDEMPOTENCY_KEY:
-            home = self.endpoints[first.endpoint_id]
-            assert self.now <= first.sent_at + request_class.dedup_window, "resent past its window"
-            assert scope is not DedupScope.ZONE or home.zone == to.zone, "resent outside its zone"
-            assert scope is not DedupScope.CELL or home.cell == to.cell, "resent outside its cell"
+            first_server = self.endpoints[first_attempt.endpoint_id]
+            assert self.now <= first_attempt.sent_at + request_class.dedup_window, (
+                "retried after the deduplication window"
+            )
+            assert scope is not DedupScope.ZONE or first_server.zone == retry_server.zone, (
+                "retried outside the deduplication zone"
+            )
+            assert scope is not DedupScope.CELL or first_server.cell == retry_server.cell, (
+                "retried outside the deduplication cell"
+            )
 
     def _check_rejection(self, request_id: int) -> None:
-        """Check that the client may be told to try again, which could run the request a second time."""
+        """Check that a request may be rejected, since a client may retry it then, and it may run twice."""
         if not any(sent.may_have_run for sent in self.sent_attempts.get(request_id, [])):
             return
         request_class = self.settings.request_classes[self.requests[request_id].request_class]
         idempotency = request_class.idempotency
-        assert idempotency is not Idempotency.NOT_IDEMPOTENT, "rejected though it may have run"
+        assert idempotency is not Idempotency.NOT_IDEMPOTENT, (
+            "rejected a request that may have run and is not idempotent"
+        )
         if idempotency is Idempotency.IDEMPOTENCY_KEY:
-            assert request_class.dedup_scope is DedupScope.ALL, "rejected though it may have run"
+            assert request_class.dedup_scope is DedupScope.ALL, (
+                "rejected a request that may have run and is not deduplicated by all servers"
+            )
 
     def advance_to(self, now: float) -> None:
-        """Move on to a time, firing the timers due and ending the attempts whose time-out is over."""
+        """Advance the time to `now`; fire timers and time out attempts, in order, that are due by then."""
         while True:
-            timer_at, token = min(self.pending_timers, default=(math.inf, 0))
-            attempt = min(self.list_attempts_in_flight(), key=_time_out_order, default=None)
-            attempt_at = math.inf if attempt is None else attempt.times_out_at
-            if min(timer_at, attempt_at) > now:
+            next_timer_at, token = min(self.pending_timers, default=(math.inf, 0))
+            attempt = min(self.list_attempts_in_flight(), key=_timeout_sort_key, default=None)
+            next_timeout_at = math.inf if attempt is None else attempt.times_out_at
+            if min(next_timer_at, next_timeout_at) > now:
                 break
-            self.now = max(self.now, min(timer_at, attempt_at))
-            if attempt is None or timer_at <= attempt_at:
-                self.pending_timers.remove((timer_at, token))
+            self.now = max(self.now, min(next_timer_at, next_timeout_at))
+            if attempt is None or next_timer_at <= next_timeout_at:
+                self.pending_timers.remove((next_timer_at, token))
                 self.deliver_event(TimerFired(token))
             else:
                 self.end_attempt(attempt, Outcome.TIMEOUT)
@@ -243,7 +289,7 @@
         customer: int = 1,
         **options: Unpack[RequestOptions],
     ) -> list[Action]:
-        """Feed a request of the class with this index."""
+        """Deliver a request of a client to the engine, and return the resulting actions."""
         return self.deliver_event(
             ClientRequest(
                 id=request_id,
@@ -262,64 +308,84 @@
         sent: SentAttempt,
         outcome: Outcome,
         latency: float | None = None,
-        **report: Unpack[EndReport],
+        **report: Unpack[AttemptEndOptions],
     ) -> list[Action]:
-        """Feed the end of an attempt, after `latency` ms or the time since it was sent."""
-        sent.in_flight = False
-        sent.may_have_run = outcome not in NEVER_RAN
+        """Deliver the end of an attempt to the engine, and return the resulting actions.
+
+        Args:
+            sent: the attempt.
+            outcome: its outcome.
+            latency: its latency in ms; None for the time since it was sent.
+            report: further fields of the event.
+        """
+        sent.is_in_flight = False
+        sent.may_have_run = outcome not in NOT_EXECUTED_OUTCOMES
         is_finished = outcome is Outcome.OK or sent.request_id in self.final_answers
         if outcome is Outcome.OK:
             self.final_answers.setdefault(sent.request_id, "served")
-        took = self.now - sent.sent_at if latency is None else latency
+        attempt_latency = self.now - sent.sent_at if latency is None else latency
         return self.deliver_event(
             AttemptEnded(
-                sent.request_id, sent.attempt, sent.endpoint_id, outcome, took, is_finished, **report
+                sent.request_id,
+                sent.attempt_number,
+                sent.endpoint_id,
+                outcome,
+                attempt_latency,
+                is_finished,
+                **report,
             )
         )
 
     def complete_attempts_in_flight(self) -> None:
-        """End all attempts in flight well, after 50 ms each."""
+        """End all attempts in flight successfully, with a latency of 50 ms each."""
         for sent in self.list_attempts_in_flight():
             self.end_attempt(sent, Outcome.OK, 50.0)
 
     def reply_to_counter_call(self, outcome: Outcome, total: float = 0.0) -> None:
-        """Feed the reply to the oldest call of the counter, after 2 ms."""
+        """Deliver the reply to the oldest pending counter call, with a latency of 2 ms."""
         call = self.pending_counter_calls.pop(0)
         self.deliver_event(CounterReply(call.key, outcome, total, latency=2.0))
 
     def reply_to_all_counter_calls(self, outcome: Outcome, total: float = 0.0) -> None:
-        """Feed the same reply to each call of the counter, also to those made meanwhile."""
+        """Deliver the same reply to each pending counter call, including calls that the replies lead to."""
         while self.pending_counter_calls:
             self.reply_to_counter_call(outcome, total)
 
     def get_customer(self, key: int = 1) -> Customer:
-        """What the engine holds of a customer."""
+        """Return the engine's record of a customer."""
         return self.engine.customers.table.records[key]
 
     @property
     def servers_by_id(self) -> dict[bytes, Server]:
-        """What the engine holds of each server, by its id."""
+        """The engine's records of the servers by their ids."""
         return self.engine.server_selector.table.by_id
 
     def get_server(self, index: int) -> Server:
-        """What the engine holds of server `index`."""
+        """Return the engine's record of server `index`."""
         return self.servers_by_id[make_endpoint_id(index)]
 
     def record_remote_usage(self, customer: Customer, units: float) -> None:
-        """Record now that the other limiters used `units` since the last sample."""
+        """Record a sample by which the other limiters have used `units` since the previous sample."""
         customer.usage.record_sample(self.now, customer.plan, remote_units=units)
 
     def list_attempts_in_flight(self) -> list[SentAttempt]:
-        """The attempts in flight, those of a request in the order sent."""
-        return [sent for attempts in self.sent_attempts.values() for sent in attempts if sent.in_flight]
+        """Return the attempts in flight; those of one request are in the order sent."""
+        return [sent for attempts in self.sent_attempts.values() for sent in attempts if sent.is_in_flight]
 
 
-def _time_out_order(sent: SentAttempt) -> tuple[float, int, int]:
-    return sent.times_out_at, sent.request_id, sent.attempt
+def _timeout_sort_key(sent: SentAttempt) -> tuple[float, int, int]:
+    return sent.times_out_at, sent.request_id, sent.attempt_number
 
 
 def make_driver(server_count: int = 4, seed: int = 1, now: float = 0.0, **changes: object) -> PolicyDriver:
-    """A driver of a limiter started at `now`, with servers 0 to server_count - 1 ready."""
+    """Create a driver of a limiter that started at `now`, with the ready servers 0 to `server_count` - 1.
+
+    Args:
+        server_count: number of servers.
+        seed: seed of the engine's random numbers.
+        now: the current time, in ms.
+        changes: settings that replace the default ones.
+    """
     limiter_settings = make_settings(**changes)
     driver = PolicyDriver(PolicyEngine(limiter_settings, seed), limiter_settings, now)
     ready = tuple(make_endpoint(index) for index in range(server_count))
@@ -328,5 +394,5 @@
 
 
 def list_ready_endpoint_ids(engine: PolicyEngine) -> set[bytes]:
-    """Ids of the servers that the engine may send to."""
+    """Return the ids of the servers to which the engine may send attempts."""
     return {server.endpoint.id for server in engine.server_selector.table.ready}
