--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -1,8 +1,8 @@
-"""A fleet of policy engines on one virtual clock, before a discovery that is overloaded for a while.
+"""A fleet of policy engines on one virtual clock that poll a simulated discovery, which has an outage.
 
-The virtual clock is that of `scale.hollow`. The discovery simulated there pushes changes, whereas this one is
-polled. Delays are constant here, every poll has a reply, and a receiver takes in all gossip that is not lost,
-so that the times of polls and the number of messages are due to the engines alone.
+The virtual clock is that of `scale.hollow`. The discovery simulated there pushes changes, whereas the one
+here is polled. Delays are constant here, every poll has a reply, and a receiver processes all gossip that is
+not lost, so that only the engines determine the times of polls and the number of messages.
 """
 
 from __future__ import annotations
@@ -28,63 +28,72 @@
     make_settings,
 )
 
-# Length of the time, from the start, in which discovery rejects every poll.
+# Duration of the outage at the start, in which discovery rejects every poll.
 OUTAGE_MS = 3000.0
-# Polls that discovery responds to after the outage; it rejects those beyond.
+# Maximum rate at which discovery responds to polls after the outage; it rejects all other polls.
 POLL_RESPONSES_PER_SECOND = 8.0
-# Share of the datagrams that do not arrive.
-MESSAGE_LOSS = 0.05
+# Fraction of the datagrams that are lost.
+DATAGRAM_LOSS_FRACTION = 0.05
 # Time from a poll to its reply.
 POLL_DELAY_MS = 2.0
-# Time from a broadcast to its arrival at all other limiters.
+# Time from a broadcast to its arrival at the other limiters.
 GOSSIP_DELAY_MS = 20.0
-# Number of the server that every response of discovery names as draining.
-REMOVED = 1
-# Number of the other server.
-KEPT = 2
+# Index of the server that every response of discovery lists as draining.
+REMOVED_SERVER = 1
+# Index of the other server.
+KEPT_SERVER = 2
 
 
 class PollingFleet:
-    """Limiters whose polls discovery rejects in an outage; afterwards it responds to a number a second."""
+    """Limiters that poll discovery; it rejects all polls in an outage, and limits their rate afterwards.
+
+    Attributes:
+        poll_times: time of each poll, in ms.
+        broadcast_count: number of gossip broadcasts.
+        outdated_limiters: limiters that still send to the removed server.
+        limiters_responded_to: limiters that discovery has responded to.
+    """
 
     def __init__(
-        self, limiters: int, running: int, loss: float = MESSAGE_LOSS, outage: float = OUTAGE_MS
+        self, limiters: int, running: int, loss: float = DATAGRAM_LOSS_FRACTION, outage: float = OUTAGE_MS
     ) -> None:
-        """Start some limiters of a fleet, each with a cached list of both servers.
+        """Start limiters of a fleet, each with a cached list of both servers.
 
         Args:
-            limiters: size of the fleet.
-            running: number of limiters that run.
-            loss: share of the datagrams that do not arrive.
-            outage: time from the start in which discovery rejects every poll, in ms.
+            limiters: number of limiters in the fleet.
+            running: number of these limiters that run.
+            loss: fraction of the datagrams that are lost.
+            outage: duration of the outage at the start, in ms.
         """
         self.poll_times: list[float] = []
         self.broadcast_count = 0
-        self.outdated_limiters = set(range(running))  # limiters that still send to the removed server
-        self.limiters_responded_to: set[int] = set()  # limiters that discovery has responded to
+        self.outdated_limiters = set(range(running))
+        self.limiters_responded_to: set[int] = set()
         self._rng = Random(limiters)
-        self._loss = loss
-        self._outage = outage
+        self._datagram_loss_fraction = loss
+        self._outage_ms = outage
         self._last_response_at = -math.inf
         self._clock = VirtualClock()
         self._engines: list[PolicyEngine] = []
-        cached_list = EndpointsChanged((make_endpoint(REMOVED), make_endpoint(KEPT)), True, from_cache=True)
+        cached_list = EndpointsChanged(
+            (make_endpoint(REMOVED_SERVER), make_endpoint(KEPT_SERVER)), True, from_cache=True
+        )
         for limiter in range(running):
             self._engines.append(_make_engine(limiter, limiters))
-            self.feed(limiter, cached_list)
+            self.deliver_event(limiter, cached_list)
 
     @property
     def now(self) -> float:
-        """Present time, in ms."""
+        """Current time, in ms."""
         return self._clock.now
 
-    def feed(self, limiter: int, event: Event) -> None:
-        """Hand an event to a limiter now, and schedule what follows from its actions."""
+    def deliver_event(self, limiter: int, event: Event) -> None:
+        """Pass an event to a limiter now, and schedule the effects of the resulting actions."""
         engine = self._engines[limiter]
         for action in engine.handle(self.now, event):
             match action:
                 case SetTimer(delay, token):
-                    self._clock.call_at(self.now + delay, self.feed, limiter, TimerFired(token))
+                    self._clock.call_at(self.now + delay, self.deliver_event, limiter, TimerFired(token))
                 case PollDiscovery():
                     self.poll_times.append(self.now)
                     self._clock.call_at(self.now + POLL_DELAY_MS, self._reply_to_poll, limiter)
@@ -94,43 +103,43 @@
                     self._clock.call_at(self.now + GOSSIP_DELAY_MS, self._deliver_broadcast, message)
                 case _:
                     pass
-        if limiter in self.outdated_limiters and make_endpoint_id(REMOVED) not in list_ready_endpoint_ids(
-            engine
-        ):
+        if limiter in self.outdated_limiters and make_endpoint_id(
+            REMOVED_SERVER
+        ) not in list_ready_endpoint_ids(engine):
             self.outdated_limiters.discard(limiter)
 
     def deliver_event_to_all(self, event: Event) -> None:
-        """Hand an event to all limiters now."""
+        """Pass an event to all limiters now."""
         for limiter in range(len(self._engines)):
-            self.feed(limiter, event)
+            self.deliver_event(limiter, event)
 
     def run_until(self, end: float) -> None:
-        """Let time pass up to `end`, in ms."""
+        """Run the simulation until the time `end`, in ms."""
         self._clock.run(end)
 
     def _reply_to_poll(self, limiter: int) -> None:
         is_overloaded = self.now < self._last_response_at + 1000 / POLL_RESPONSES_PER_SECOND
-        if self.now < self._outage or is_overloaded:
-            self.feed(limiter, DiscoveryPollFailed())
+        if self.now < self._outage_ms or is_overloaded:
+            self.deliver_event(limiter, DiscoveryPollFailed())
             return
         self._last_response_at = self.now
         self.limiters_responded_to.add(limiter)
-        removal = make_endpoint(REMOVED, EndpointState.DRAINING)
-        self.feed(limiter, EndpointsChanged((removal,), is_full_list=False))
+        removal = make_endpoint(REMOVED_SERVER, EndpointState.DRAINING)
+        self.deliver_event(limiter, EndpointsChanged((removal,), is_full_list=False))
 
     def _deliver_broadcast(self, message: GossipReceived) -> None:
-        """Deliver a message to all limiters but its sender and those where it is lost."""
+        """Deliver a message to all limiters except its sender and those for which it is lost."""
         for receiver in range(len(self._engines)):
-            if receiver != message.sender and self._rng.random() >= self._loss:
-                self.feed(receiver, message)
+            if receiver != message.sender and self._rng.random() >= self._datagram_loss_fraction:
+                self.deliver_event(receiver, message)
 
 
 def _make_engine(limiter: int, limiters: int) -> PolicyEngine:
-    made = make_settings(
+    limiter_settings = make_settings(
         limiter_index=limiter,
         limiter_count=limiters,
         may_gossip=True,
         gossip_intake_per_second=40.0,
         polls_discovery=True,
     )
-    return PolicyEngine(made, seed=limiter)
+    return PolicyEngine(limiter_settings, seed=limiter)
