--- a/tests/support/hollow_experiment.py
+++ b/tests/support/hollow_experiment.py
@@ -8,10 +8,10 @@
 
 
 def make_hollow_experiment(**changes: object) -> HollowExperiment:
-    """Make an experiment of eight limiters and eight seconds.
+    """Create an experiment with eight limiters that lasts eight seconds.
 
     Args:
-        changes: values of top-level keys of the experiment's file, in place of those here.
+        changes: values of top-level keys of the experiment file that replace the default ones.
     """
     request_class = {"share": 0.5, "work": 50.0, "aim": 600.0, "deadline": 1500.0}
     data: dict[str, object] = {
--- a/tests/support/simulator_frames.py
+++ b/tests/support/simulator_frames.py
@@ -1,4 +1,4 @@
-"""Builds the frames that a simulator sends and reads the adapter's replies, without the codec under test."""
+"""Encodes the frames of a simulator and splits the adapter's replies, without the codec under test."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 def encode_batch_header(record_count: int, length: int, now: float = 0.0) -> bytes:
-    """Return the header of a batch; `length` counts the eight bytes of the clock too."""
+    """Return the header of a batch; `length` is that of the records plus the eight bytes of the clock."""
     return struct.pack(">IId", record_count, length, now)
 
 
 def encode_batch(now: float, *records: bytes) -> bytes:
-    """Return a well-formed batch of these records."""
+    """Return a valid batch of these records."""
     body = b"".join(records)
     return encode_batch_header(len(records), len(body) + 8, now) + body
 
@@ -42,7 +42,7 @@
 
 
 def encode_endpoint_page(state: int = 1) -> bytes:
-    """Return a PAGE record, number 0, that lists SERVER in this state."""
+    """Return a PAGE record, number 0, that lists SERVER_ID in this state."""
     return struct.pack(">BII", 27, 0, 1) + struct.pack(">HdH6sfHB", 0, 0.0, 0, SERVER_ID, 1.0, 0, state)
 
 
@@ -57,7 +57,7 @@
 
 
 def run_adapter(*batches: bytes) -> list[bytes]:
-    """Serve these bytes with an adapter of their own; return the actions of each reply."""
+    """Run a new adapter on these batches, and return the encoded actions of each reply."""
     sink = io.BytesIO()
     adapter.serve(io.BytesIO(b"".join(batches)), sink)
     data = sink.getvalue()
