--- a/tests/support/fake_server.py
+++ b/tests/support/fake_server.py
@@ -78,22 +78,22 @@
 
 
 class HeldResponses:
-    """A responder that delays all responses until the test calls `release`.
+    """A responder that holds back all responses until the test calls `release`.
 
     Attributes:
-        writers: the streams to the limiter, one for each delayed response.
+        writers: the streams to the limiter, one for each held response.
     """
 
     def __init__(self) -> None:
-        """Create a responder without delayed responses."""
+        """Create a responder without held responses."""
         self.writers: list[asyncio.StreamWriter] = []
 
     async def __call__(self, _request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        """Delay the response to one request."""
+        """Hold back the response to one request."""
         self.writers.append(writer)
 
     def release(self, status: int = 200) -> None:
-        """Write all delayed responses with this status.
+        """Write all held responses with this status.
 
         On return, the kernel holds them in the receive buffers of the limiter's sockets.
         """
