--- a/tests/support/fake_server.py
+++ b/tests/support/fake_server.py
@@ -111,24 +111,24 @@
     """A fake server of the API that the limiter protects.
 
     Attributes:
-        key: its id in endpoint lists.
+        endpoint_id: its id in endpoint lists.
         zone: its zone in endpoint lists.
         received_requests: the requests received so far.
         responder: writes its responses; by default, status 200 with a body that names the server.
     """
 
-    def __init__(self, key: str, zone: str = "a") -> None:
+    def __init__(self, endpoint_id: str, zone: str = "a") -> None:
         """Create a server that does not listen yet.
 
         Args:
-            key: its id in endpoint lists.
+            endpoint_id: its id in endpoint lists.
             zone: its zone in endpoint lists.
         """
         super().__init__()
-        self.key = key
+        self.endpoint_id = endpoint_id
         self.zone = zone
         self.received_requests: list[ReceivedRequest] = []
-        self.responder: Responder = respond_with(200, f"from {key}".encode())
+        self.responder: Responder = respond_with(200, f"from {endpoint_id}".encode())
 
     async def serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection_number: int
@@ -150,7 +150,7 @@
             changes: values that replace the default ones; by default, the server started long ago.
         """
         entry = {
-            "instanceId": self.key,
+            "instanceId": self.endpoint_id,
             "hostPort": self.address,
             "zone": self.zone,
             "machineType": "m",
--- a/tests/support/in_process_limiter.py
+++ b/tests/support/in_process_limiter.py
@@ -28,7 +28,7 @@
     endpoints = []
     for server in servers:
         await server.listen()
-        endpoint = Endpoint(server.key.encode(), EndpointState.READY)
+        endpoint = Endpoint(server.endpoint_id.encode(), EndpointState.READY)
         endpoints.append(ListedEndpoint(endpoint, ("127.0.0.1", server.port)))
     clock = Clock()
     config = parse_config(make_raw_config(seed="1"))
--- a/tests/transport/test_server_pool.py
+++ b/tests/transport/test_server_pool.py
@@ -38,7 +38,7 @@
     def send(self) -> None:
         """Send the next attempt."""
         request = build_request(request_id=str(self.sent))
-        attempt = Attempt(self.sent, self.server.key.encode(), request, self._on_ended)
+        attempt = Attempt(self.sent, self.server.endpoint_id.encode(), request, self._on_ended)
         self.sent += 1
         self.pool.send(attempt, ATTEMPT_TIMEOUT_SECONDS)
 
