--- a/tests/transport/test_server_pool.py
+++ b/tests/transport/test_server_pool.py
@@ -38,7 +38,7 @@
     def send(self) -> None:
         """Send the next attempt."""
         request = build_request(request_id=str(self.sent_count))
-        attempt = Attempt(self.sent_count, self.server.key.encode(), request, self._on_ended)
+        attempt = Attempt(self.sent_count, self.server.endpoint_id.encode(), request, self._on_ended)
         self.sent_count += 1
         self.pool.send(attempt, ATTEMPT_TIMEOUT_SECONDS)
 
