--- a/tests/transport/test_restart_together.py
+++ b/tests/transport/test_restart_together.py
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("state", DiscoveryState)
-async def test_limiters_with_a_configured_list_are_ready_in_time_while_discovery_is_unavailable(
+async def test_limiters_started_together_with_a_configured_list_are_ready_while_discovery_is_unavailable(
     state: DiscoveryState, tmp_path: Path
 ) -> None:
     """They use the configured list while discovery and the counter are unavailable."""
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("state", [DiscoveryState.NOT_RESPONDING, DiscoveryState.OVERLOADED])
-async def test_limiters_without_a_configured_list_are_ready_in_time_after_discovery_recovers(
+async def test_limiters_started_together_without_a_configured_list_are_ready_after_discovery_recovers(
     state: DiscoveryState, tmp_path: Path
 ) -> None:
     """Before that, they have no servers and fail their health checks."""
