--- a/tests/transport/test_dial_races.py
+++ b/tests/transport/test_dial_races.py
@@ -17,7 +17,9 @@
 )
 
 
-async def publish(harness: LimiterHarness, *entries: dict[str, Any], full_list: bool = False) -> None:
+async def publish_and_wait(
+    harness: LimiterHarness, *entries: dict[str, Any], full_list: bool = False
+) -> None:
     """Publish a full endpoint list or changes to it, and wait until the limiter has applied them."""
     harness.discovery.publish(*entries, full_list=full_list)
     await wait_until_latest_list_applied(harness)
@@ -25,7 +27,7 @@
 
 async def connect_client_waiting_for_dial(harness: LimiterHarness) -> Connection:
     """Return a client whose request waits for a dial to the slow server."""
-    await publish(harness, harness.slow_servers[0].make_list_entry(), full_list=True)
+    await publish_and_wait(harness, harness.slow_servers[0].make_list_entry(), full_list=True)
     client = await harness.connect()
     client.send(build_request("order", deadline_ms=60_000))
     await wait_until(harness.slow_servers[0].count_pending_connections, "start of the dial")
@@ -50,7 +52,7 @@
     The attempt has not been sent, so the request is sent to another server.
     """
     client = await connect_client_waiting_for_dial(harness)
-    await publish(
+    await publish_and_wait(
         harness, harness.slow_servers[0].make_list_entry(**change), harness.servers[1].make_list_entry()
     )
     await harness.slow_servers[0].accept_connections()
--- a/tests/transport/test_gossip_socket.py
+++ b/tests/transport/test_gossip_socket.py
@@ -27,8 +27,8 @@
 
     def __init__(self) -> None:
         """Bind the socket, and choose a free port for the limiter."""
-        self.socket = _bound_socket()
-        with _bound_socket() as limiter_socket:
+        self.socket = _bind_socket()
+        with _bind_socket() as limiter_socket:
             self.limiter: Address = limiter_socket.getsockname()
         self._messages: list[bytes] = []
 
@@ -51,14 +51,14 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
             unknown_sender.sendto(message, self.limiter)
 
-    def received(self, prefix: bytes = b"") -> list[bytes]:
+    def read_messages(self, prefix: bytes = b"") -> list[bytes]:
         """Read one more datagram if available; return all datagrams so far that start with `prefix`."""
         with contextlib.suppress(BlockingIOError):
             self._messages.append(self.socket.recv(1024))
         return [message for message in self._messages if message.startswith(prefix)]
 
 
-def _bound_socket() -> socket.socket:
+def _bind_socket() -> socket.socket:
     bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     bound.setblocking(False)
     bound.bind(("127.0.0.1", 0))
@@ -73,7 +73,7 @@
     bound.socket.close()
 
 
-def gossip_settings(**changes: Any) -> dict[str, Any]:
+def make_gossip_settings(**changes: Any) -> dict[str, Any]:
     """Return settings with gossip, in which each of two limiters has under one unit of a customer's burst."""
     made = make_raw_settings_with_quota(rate=1.0, burst=1.0)
     made["limits"] = {**made["limits"], "peers": True}
@@ -114,15 +114,15 @@
 
 
 @pytest.mark.parametrize("has_shared_address", [True, False])
-@limiter_with(settings=gossip_settings())
+@limiter_with(settings=make_gossip_settings())
 async def test_usage_is_sent_to_the_peer_and_received_usage_leads_to_rejections(
     harness: LimiterHarness, peer: PeerSocket
 ) -> None:
     """Messages from unknown addresses, messages that are too long and malformed messages are ignored."""
     weight = {"X-Weight": WEIGHT_FOR_TWO_LIMITERS}
     assert (await send_for_customer(harness, "a1", 0xB4D65521, **weight)).status == 200
-    await wait_until(peer.received, "a gossip message")
-    assert 3 < len(peer.received()[0]) <= MAX_MESSAGE_BYTES
+    await wait_until(peer.read_messages, "a gossip message")
+    assert 3 < len(peer.read_messages()[0]) <= MAX_MESSAGE_BYTES
     peer.send_from_unknown_address(encode_usage_message(0xFACADE))
     peer.send(encode_usage_message(0xFACADE + 1, entry_count=60))
     peer.send(b"\xff" * 40)
@@ -145,10 +145,10 @@
     await wait_until(lambda: harness.discovery.response_times)
     harness.discovery.status = 503
     harness.discovery.publish(harness.servers[1].make_list_entry("leaving"))
-    await wait_until(lambda: peer.received(REJECTED_CALL_REPORT_PREFIX), "a report of a rejected call")
+    await wait_until(lambda: peer.read_messages(REJECTED_CALL_REPORT_PREFIX), "a report of a rejected call")
 
 
-@limiter_with(servers=2, settings=gossip_settings(discovery="on_request"))
+@limiter_with(servers=2, settings=make_gossip_settings(discovery="on_request"))
 async def test_server_reported_as_draining_by_a_peer_receives_no_requests_while_discovery_is_overloaded(
     harness: LimiterHarness, peer: PeerSocket
 ) -> None:
@@ -162,7 +162,7 @@
         assert (await send_for_customer(harness, str(index), 0xFACADE + index)).body == b"from s-1"
     harness.discovery.status = 200
     await wait_until(
-        lambda: any(b"s-1" in message for message in peer.received(REJECTED_CALL_REPORT_PREFIX)),
+        lambda: any(b"s-1" in message for message in peer.read_messages(REJECTED_CALL_REPORT_PREFIX)),
         "a report of the draining server",
     )
     assert (await send_for_customer(harness, "last", 0xBEE)).body == b"from s-0"
@@ -184,7 +184,7 @@
         "discovery": "127.0.0.1:2",
         "counter": "127.0.0.1:3",
         "seed": "1",
-        "settings": gossip_settings(),
+        "settings": make_gossip_settings(),
         "peer_listen": "127.0.0.1:4",
         "peers": ["127.0.0.1:4", "127.0.0.1:5"],
     }
--- a/tests/transport/test_lifecycle.py
+++ b/tests/transport/test_lifecycle.py
@@ -187,7 +187,7 @@
 
 @limiter_with(sockets=64)
 async def test_exhausted_descriptors_do_not_terminate_the_limiter(harness: LimiterHarness) -> None:
-    """It serves requests again once clients have closed their connections."""
+    """The limiter serves requests again once clients have closed their connections."""
     clients = []
     for _ in range(150):  # Far more than the limit of 64 descriptors allows.
         clients.append(await harness.connect())
@@ -232,7 +232,7 @@
 
 
 def test_paths_in_the_deployment_file_exist() -> None:
-    """It must also start this program and require no system packages."""
+    """The file must also start this program and require no system packages."""
     deploy = tomllib.loads((REPOSITORY_ROOT / "deploy" / "balancer.toml").read_text())
     assert all((REPOSITORY_ROOT / path).exists() for path in deploy["policy"] + deploy["node"])
     assert deploy["run"].endswith("-m limiter")
--- a/tests/transport/test_requests.py
+++ b/tests/transport/test_requests.py
@@ -27,7 +27,7 @@
 from tests.support.waiting import WAIT_TIMEOUT_SECONDS, wait_until
 
 
-async def send_while(harness: LimiterHarness, request: bytes, *, status: int) -> Response:
+async def resend_while_status(harness: LimiterHarness, request: bytes, *, status: int) -> Response:
     """Send a request repeatedly while the response has this status; return the first other response."""
     while True:
         response = await harness.send_request(request)
@@ -108,7 +108,7 @@
         never_respond,
         reset_connection,
         respond_raw(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut"),
-        respond_with(503),  # Without the header that states that the request was not executed.
+        respond_with(503),  # The header which states that the request was not executed is missing.
     ],
     ids=["no response", "connection reset", "incomplete response", "503 without X-Not-Run"],
 )
@@ -131,7 +131,7 @@
 @limiter_with(settings=make_raw_settings_with_quota(rate=0.1, burst=4.0))
 async def test_customer_over_its_quota_is_rejected_with_retry_after(harness: LimiterHarness) -> None:
     # The admission probability decreases with each reply of the counter.
-    response = await send_while(harness, build_request(deadline_ms=60000), status=200)
+    response = await resend_while_status(harness, build_request(deadline_ms=60000), status=200)
     assert response.status == 429
     assert 0 < float(response.headers["retry-after"]) <= 20
 
@@ -319,7 +319,7 @@
     )
     harness.servers[0].responder = respond_with(200, b"fine")
     # After missing responses, the limiter assumes for a while that the server has no capacity, and rejects.
-    response = await send_while(harness, build_request(request_id="last"), status=429)
+    response = await resend_while_status(harness, build_request(request_id="last"), status=429)
     assert response.body == b"fine"
 
 
--- a/tests/transport/test_restart_together.py
+++ b/tests/transport/test_restart_together.py
@@ -21,7 +21,8 @@
 from tests.support.limiter_settings import make_configured_endpoint_list, make_raw_settings_with_quota
 
 LIMITER_COUNT = 5
-MAX_READY_SECONDS = 10.0  # Longest time from the start, or from discovery's recovery.
+# Longest time until a limiter is ready, from its start or from the recovery of discovery.
+MAX_READY_SECONDS = 10.0
 
 
 class DiscoveryState(StrEnum):
