--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the policy, driven by events in memory."""
+"""Tests of the policy engine, which pass events to it directly, without sockets."""
--- a/tests/policy/test_policy_modules.py
+++ b/tests/policy/test_policy_modules.py
@@ -1,4 +1,4 @@
-"""The deploy file lists the modules of the decision policy, and each says where its types are."""
+"""Tests that the deploy file lists the modules of the policy and that each says where its types are."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_the_deploy_file_lists_the_policy_and_each_module_names_its_types() -> None:
+def test_the_deploy_file_lists_all_policy_modules_and_each_says_where_its_types_are() -> None:
     with (ROOT / "deploy" / "balancer.toml").open("rb") as file:
-        policy = tomllib.load(file)["policy"]
-    on_disk = {str(path.relative_to(ROOT)) for path in (ROOT / "limiter" / "policy").glob("*.py")}
-    assert set(policy) == on_disk - {"limiter/policy/__init__.py"}
-    for path in policy:
+        listed_modules = tomllib.load(file)["policy"]
+    existing_modules = {str(path.relative_to(ROOT)) for path in (ROOT / "limiter" / "policy").glob("*.py")}
+    assert set(listed_modules) == existing_modules - {"limiter/policy/__init__.py"}
+    for path in listed_modules:
         source = (ROOT / path).read_text()
         lines = source.splitlines()
         assert max(map(len, lines)) <= 110
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: where they go, how long an attempt may take, and how many there are."""
+"""Tests of retries: their servers, the time-outs of attempts and the retry budget."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_retry_goes_to_another_server_although_it_costs_more(seed: int) -> None:
-    """The failed one may be cheap just because it fails at once."""
+def test_a_retry_goes_to_another_server_even_if_it_costs_more(seed: int) -> None:
+    """The failed server may have the lowest cost only because it fails fast."""
     driver = make_driver(server_count=2, seed=seed, plans=PLANS_WITHOUT_QUOTA)
     latencies = {make_endpoint_id(0): 10.0, make_endpoint_id(1): 9000.0}
     for request_id in range(10, 20):
@@ -26,18 +26,19 @@
 
 
 def test_an_attempt_times_out_at_half_the_objective_while_there_is_retry_budget() -> None:
-    """Late enough for most answers, and early enough for a retry within the objective."""
+    """Most responses arrive in that time, and a retry can still succeed within the objective."""
     driver = make_driver(plans=PLANS_WITHOUT_QUOTA)
     driver.send_request(1)
     [first] = driver.list_attempts_in_flight()
     assert first.timeout == 500.0
-    driver.end_attempt(first, Outcome.CONNECT_FAILED, 1.0)  # Its retry spends the budget.
+    # The retry of this attempt uses up the budget.
+    driver.end_attempt(first, Outcome.CONNECT_FAILED, 1.0)
     driver.send_request(2, customer=2)
     assert driver.sent_attempts[2][0].timeout == 1000.0
 
 
-def test_the_retry_budget_bounds_retries_to_a_quarter_of_the_requests() -> None:
-    """Retries may not multiply the load of a fleet that fails."""
+def test_the_retry_budget_limits_retries_to_a_quarter_of_the_requests() -> None:
+    """Otherwise retries would multiply the load of a failing fleet."""
     driver = make_driver(server_count=8, plans=PLANS_WITHOUT_QUOTA)
     for request_id in range(100):
         driver.send_request(request_id, customer=request_id)
--- a/tests/policy/test_server_selection.py
+++ b/tests/policy/test_server_selection.py
@@ -1,4 +1,4 @@
-"""Choice of a server: pauses after rejections, cost, and servers that left or restarted."""
+"""Tests of server selection: pauses after rejections, cost, and servers that were removed or restarted."""
 
 from __future__ import annotations
 
@@ -14,60 +14,60 @@
 
 @pytest.fixture
 def two_servers() -> PolicyDriver:
-    """A limiter with two servers and no quota."""
+    """Return the driver of a limiter with two servers and no quota."""
     return make_driver(server_count=2, plans=PLANS_WITHOUT_QUOTA)
 
 
-def test_a_removed_server_is_forgotten_once_it_has_no_attempt_in_flight() -> None:
-    """The end of its last attempt still has to find the record."""
+def test_the_record_of_a_removed_server_is_kept_until_its_last_attempt_ends() -> None:
+    """The record is needed when the last attempt at the server ends; after that it must be deleted."""
     driver = make_driver(server_count=3, plans=PLANS_WITHOUT_QUOTA)
     driver.send_request(1)
     [sent] = driver.list_attempts_in_flight()
-    only_server = EndpointsChanged((make_endpoint(9),), is_full_list=True)
-    driver.deliver_event(only_server)
+    list_without_the_server = EndpointsChanged((make_endpoint(9),), is_full_list=True)
+    driver.deliver_event(list_without_the_server)
     assert set(driver.servers_by_id) == {sent.endpoint_id, make_endpoint_id(9)}
     driver.end_attempt(sent, Outcome.OK, 50.0)
-    driver.deliver_event(only_server)
+    driver.deliver_event(list_without_the_server)
     assert set(driver.servers_by_id) == {make_endpoint_id(9)}
 
 
 def test_a_server_that_rejected_an_attempt_is_paused(two_servers: PolicyDriver) -> None:
-    """For one sample interval it gets no further attempt."""
+    """The server gets no further attempt for one sample interval."""
     driver = two_servers
     driver.send_request(1)
     [sent] = driver.list_attempts_in_flight()
-    rejecting = sent.endpoint_id
+    rejecting_id = sent.endpoint_id
     driver.end_attempt(sent, Outcome.REJECTED)
     driver.complete_attempts_in_flight()
-    assert rejecting not in collect_first_attempt_endpoints(driver, range(10, 30))
+    assert rejecting_id not in collect_first_attempt_endpoints(driver, range(10, 30))
     driver.now += SAMPLE_INTERVAL_MS + 1.0
-    assert rejecting in collect_first_attempt_endpoints(driver, range(30, 60))
+    assert rejecting_id in collect_first_attempt_endpoints(driver, range(30, 60))
 
 
 def test_the_pause_doubles_with_each_rejection_in_a_row_until_an_attempt_succeeds() -> None:
-    """Seen after a release: draining servers rejected hundreds of attempts, of limiters with an old list."""
+    """Observed after a release: limiters with a stale list sent hundreds of attempts to draining servers."""
     driver = make_driver(server_count=1, max_attempts=1, plans=PLANS_WITHOUT_QUOTA)
     for factor in (1, 2, 4, 8, 16, 16):
         reject_next_attempt(driver)
-        assert_paused_for(driver, factor * SAMPLE_INTERVAL_MS)
+        check_pause(driver, factor * SAMPLE_INTERVAL_MS)
     driver.send_request(len(driver.requests))
     driver.complete_attempts_in_flight()
-    assert_paused_for(driver, 0.0)
+    check_pause(driver, 0.0)
     reject_next_attempt(driver)
-    assert_paused_for(driver, SAMPLE_INTERVAL_MS)
+    check_pause(driver, SAMPLE_INTERVAL_MS)
 
 
 def reject_next_attempt(driver: PolicyDriver) -> None:
-    """Make a request, and let the server reject its attempt."""
+    """Send a request whose attempt the server rejects."""
     driver.send_request(len(driver.requests))
     [sent] = driver.list_attempts_in_flight()
     driver.end_attempt(sent, Outcome.REJECTED)
 
 
-def assert_paused_for(driver: PolicyDriver, pause: float) -> None:
-    """Check that the only server gets an attempt `pause` ms from now, and none a moment before."""
-    ends_at = driver.now + pause
-    if pause:
+def check_pause(driver: PolicyDriver, pause_ms: float) -> None:
+    """Check that the only server gets an attempt `pause_ms` from now, and none 0.001 ms earlier."""
+    ends_at = driver.now + pause_ms
+    if pause_ms:
         driver.now = ends_at - 0.001
         driver.send_request(len(driver.requests))
         assert not driver.list_attempts_in_flight()
@@ -77,17 +77,17 @@
     driver.end_attempt(sent, Outcome.CANCELLED)
 
 
-def record_latency(driver: PolicyDriver, index: int, latency: float) -> None:
-    """Let an attempt at server `index` succeed now, after this time."""
+def record_success(driver: PolicyDriver, index: int, latency: float) -> None:
+    """Record that an attempt at server `index` succeeded now, with this latency in ms."""
     success = AttemptEnded(0, 0, make_endpoint_id(index), Outcome.OK, latency, request_finished=True)
     driver.engine.outlier_detector.record_outcome(driver.now, driver.get_server(index).health, success)
 
 
 def test_an_old_latency_weighs_less_in_the_cost(two_servers: PolicyDriver) -> None:
-    """The server may have recovered since."""
+    """The server may have recovered since the latency was measured."""
     cost = two_servers.engine.server_selector.estimate_cost
-    record_latency(two_servers, 1, 100.0)
-    record_latency(two_servers, 0, 5000.0)
+    record_success(two_servers, 1, 100.0)
+    record_success(two_servers, 0, 5000.0)
     server = two_servers.get_server(0)
     assert cost(100000.0, server) < 0.1 * cost(0.0, server)
 
@@ -95,20 +95,21 @@
 def test_an_attempt_long_in_flight_raises_the_cost_unless_it_was_overtaken(
     two_servers: PolicyDriver,
 ) -> None:
-    """An unresponsive server is known before its attempts time out."""
+    """This detects an unresponsive server before its attempts time out."""
     cost = two_servers.engine.server_selector.estimate_cost
-    record_latency(two_servers, 1, 100.0)
+    record_success(two_servers, 1, 100.0)
     server = two_servers.get_server(0)
     server.start_attempt(1, 0, now=0.0)
     server.start_attempt(2, 0, now=2500.0)
     assert cost(3000.0, server) > 5 * cost(50.0, server)
     server.start_attempt(3, 0, now=2500.0)
-    server.end_attempt(3, 0, is_success=True)  # A later one succeeded: the first was lost on its way.
+    # A later attempt succeeded, so the first one is presumed lost.
+    server.end_attempt(3, 0, is_success=True)
     assert cost(3000.0, server) < 5 * cost(50.0, server)
 
 
-def test_a_restarted_server_starts_without_a_record(two_servers: PolicyDriver) -> None:
-    """Its failures were those of the process before."""
+def test_a_restarted_server_starts_with_new_health_statistics(two_servers: PolicyDriver) -> None:
+    """The recorded failures are those of the previous process."""
     failure = AttemptEnded(0, 0, make_endpoint_id(0), Outcome.ERROR, 1.0, request_finished=True)
     two_servers.engine.outlier_detector.record_outcome(
         two_servers.now, two_servers.get_server(0).health, failure
@@ -118,16 +119,18 @@
     assert two_servers.get_server(0).health.failure_rate == 0.0
 
 
-def test_server_selection_compares_a_bounded_number_of_servers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The choice costs the same in a fleet of any size."""
+def test_server_selection_compares_at_most_the_maximum_number_of_servers(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The processor time of a selection must not grow with the size of the fleet."""
     driver = make_driver(server_count=200, plans=PLANS_WITHOUT_QUOTA)
-    compared = []
+    compared_ids = []
     cost = driver.engine.server_selector.estimate_cost
 
     def recording_cost(now: float, server: Server) -> float:
-        compared.append(server.endpoint.id)
+        compared_ids.append(server.endpoint.id)
         return cost(now, server)
 
     monkeypatch.setattr(driver.engine.server_selector, "estimate_cost", recording_cost)
     driver.send_request(1)
-    assert 0 < len(compared) <= MAX_CANDIDATES
+    assert 0 < len(compared_ids) <= MAX_CANDIDATES
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start of a cold server under the sum of what many limiters send to it."""
+"""Tests of slow start: the load on a cold server is the sum of the attempts of many limiters."""
 
 from __future__ import annotations
 
@@ -7,13 +7,15 @@
 from tests.support.simulated_fleet import LoadBurst, SimulatedFleet
 from tests.support.simulated_server import SimulatedServer
 
-MIN_ARRIVALS = 12  # attempts at a warming server in six seconds
+# Minimum number of attempts at a warming server within 6 s; with fewer, slow start starves the server.
+MIN_ARRIVALS = 12
 
 
-def cold_servers_after_crash(limiters: int, seed: int) -> list[SimulatedServer]:
-    """Crash three of twelve servers, and return them 6 s after they came back cold.
+def simulate_crash_and_cold_restart(limiters: int, seed: int) -> list[SimulatedServer]:
+    """Crash three of twelve servers, and return them 6 s after their cold restart.
 
-    The load doubles before they are back, beyond the fleet's capacity. One limiter learns of it 5 s late.
+    Before the restart, the load doubles and exceeds the capacity of the fleet. One limiter learns of the
+    restart 5 s late.
     """
     burst = LoadBurst(start=8500.0, end=18000.0, load_factor=2.0)
     fleet = SimulatedFleet(limiters=limiters, servers=12, load=0.9, seed=seed, burst=burst)
@@ -32,8 +34,12 @@
 
 
 @pytest.mark.parametrize(("limiters", "seed"), [(20, 6), (30, 3), (30, 4), (30, 5)])
-def test_cold_servers_bear_the_sum_of_what_many_limiters_send(limiters: int, seed: int) -> None:
-    # Before, the least cost at every limiter was where it had nothing in flight, at the cold server.
-    cold_servers = cold_servers_after_crash(limiters, seed)
-    assert all(len(server.arrivals) >= MIN_ARRIVALS for server in cold_servers), "slow start starves a server"
+def test_restarted_servers_are_neither_starved_nor_overloaded_by_many_limiters(
+    limiters: int, seed: int
+) -> None:
+    """Without slow start, each limiter prefers a cold server, at which it has no attempt in flight."""
+    cold_servers = simulate_crash_and_cold_restart(limiters, seed)
+    assert all(len(server.arrivals) >= MIN_ARRIVALS for server in cold_servers), (
+        "slow start sent fewer than 12 attempts to a server"
+    )
     assert max(server.compute_peak_load_ratio() for server in cold_servers) < 1.0
--- a/tests/policy/test_smoothing.py
+++ b/tests/policy/test_smoothing.py
@@ -1,4 +1,4 @@
-"""Moving averages, exponential decay and clamping."""
+"""Tests of moving averages, exponential decay and clamping."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     assert decay_factor(6000.0, 3000.0) == pytest.approx(1 / math.e**2)
 
 
-def test_the_newest_sample_gets_the_weight_that_the_older_ones_lost() -> None:
+def test_the_newest_sample_gets_the_weight_lost_by_the_older_ones() -> None:
     assert newest_sample_weight(0.0, 4.0) == 0.0
     assert newest_sample_weight(4.0, 4.0) == pytest.approx(1 - 1 / math.e)
 
