--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the policy's tests."""
+"""Fixtures of the tests of the policy engine."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 @pytest.fixture
 def driver() -> PolicyDriver:
-    """A limiter with four servers, with the settings of the policy driver."""
+    """Return the driver of a limiter with four servers and the default settings."""
     return make_driver()
 
 
 @pytest.fixture
 def customer(driver: PolicyDriver) -> Customer:
-    """Customer 1 of `driver`, after one usage sample."""
+    """Return customer 1 of `driver` after one usage sample."""
     return make_sampled_customer(driver)
 
 
 @pytest.fixture
-def wide_driver() -> PolicyDriver:
-    """A limiter whose share of a customer's burst is below one request."""
+def widely_shared_driver() -> PolicyDriver:
+    """Return the driver of a limiter whose share of a customer's burst is below one request."""
     return make_widely_shared_driver()
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: Retry-After, superseded timers, and the polls of discovery."""
+"""Tests of admission: the Retry-After of rejections, superseded timers and polls to discovery."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 from tests.support.policy_driver import PolicyDriver, make_driver
 
 
-def test_retry_after_is_when_the_bucket_holds_the_units_again(
+def test_retry_after_is_the_time_until_the_bucket_holds_the_requested_units(
     driver: PolicyDriver, customer: Customer
 ) -> None:
-    """The bucket fills by the quota less the remote rate."""
+    """The bucket refills at the rate of the quota minus the rate at which other limiters forward units."""
     customer.usage.set_tokens(0.25)
     customer.usage.set_probability(0.0)
-    customer.usage.remote_rate = 0.005  # half of 10 units a second
+    # Units per ms: half of the quota of 10 units per second.
+    customer.usage.remote_rate = 0.005
     customer.usage.refilled_at = driver.now
     rejections = [
         action
@@ -30,7 +31,7 @@
 
 
 def test_a_superseded_timer_does_nothing(driver: PolicyDriver, customer: Customer) -> None:
-    """A sooner timer has been set since, and fires by itself."""
+    """A timer that fires before the next round of housekeeping is due belongs to an earlier round."""
     housekeeping = driver.engine.admission.housekeeping
     housekeeping.schedule(0.0, 500.0, customer)
     driver.engine.context.take_actions()
@@ -40,7 +41,7 @@
 
 
 def test_discovery_is_polled_at_the_start_and_again_after_a_failure() -> None:
-    """A failed poll is repeated within two seconds."""
+    """A failed poll is repeated within 2 s."""
     driver = make_driver(polls_discovery=True)
     assert PollDiscovery() in driver.actions
     driver.actions.clear()
--- a/tests/policy/test_wide_customers.py
+++ b/tests/policy/test_wide_customers.py
@@ -1,4 +1,4 @@
-"""Customers spread so thin that a limiter's share of the burst is below one request."""
+"""Tests of widely shared customers: the share of one limiter in their burst is below one request."""
 
 from __future__ import annotations
 
@@ -15,43 +15,47 @@
 
 
 def is_decided(driver: PolicyDriver, request_id: int) -> bool:
-    """Whether the request was forwarded or answered, so is not held any more."""
+    """Return whether the request was forwarded or answered, so that it is no longer held."""
     return request_id in driver.sent_attempts or request_id in driver.final_answers
 
 
-def test_a_request_is_held_for_the_reply_and_passes_below_the_quota(wide_driver: PolicyDriver) -> None:
-    """The limiter alone cannot know whether there is quota left."""
-    send_widely_shared_request(wide_driver, 1)
-    assert 1 not in wide_driver.sent_attempts
-    assert 1 not in wide_driver.final_answers
-    wide_driver.reply_to_counter_call(Outcome.OK, 3.0)
-    assert wide_driver.sent_attempts[1]
+def test_a_request_is_held_for_the_counter_reply_and_forwarded_below_the_quota(
+    widely_shared_driver: PolicyDriver,
+) -> None:
+    """The limiter alone does not know whether units of the quota are left."""
+    send_widely_shared_request(widely_shared_driver, 1)
+    assert 1 not in widely_shared_driver.sent_attempts
+    assert 1 not in widely_shared_driver.final_answers
+    widely_shared_driver.reply_to_counter_call(Outcome.OK, 3.0)
+    assert widely_shared_driver.sent_attempts[1]
 
 
-def test_a_request_beyond_the_quota_is_rejected_on_the_reply() -> None:
-    """By chance, as each limiter decides on its own."""
-    rejected = 0
+def test_a_request_beyond_the_quota_is_rejected_at_the_counter_reply() -> None:
+    """Each limiter rejects at random, so the test counts the rejections of 100 limiters."""
+    rejected_requests = 0
     for seed in range(100):
         driver = make_widely_shared_driver(seed)
         send_widely_shared_request(driver, 1)
-        driver.reply_to_counter_call(Outcome.OK, 40.0)  # 40 units in 2 s, of a burst of 8 and 2 a second
-        rejected += driver.final_answers.get(1) == "RejectRequest"
-    assert rejected > 80
+        # 40 units in 2 s, of a quota with a burst of 8 and a rate of 2 per second.
+        driver.reply_to_counter_call(Outcome.OK, 40.0)
+        rejected_requests += driver.final_answers.get(1) == "RejectRequest"
+    assert rejected_requests > 80
 
 
-def test_a_flood_after_a_quiet_start_of_an_epoch_is_limited_to_about_the_burst() -> None:
-    """Seen with 40 limiters: a fifth of the units forwarded were beyond quotas, admitted late in an epoch."""
-    forwarded = 0
-    for used_units in range(40):  # one request each at 40 limiters, the total growing by each
+def test_a_flood_late_in_an_idle_epoch_is_limited_to_about_the_burst() -> None:
+    """Observed with 40 limiters: a fifth of the units were beyond quotas and forwarded late in an epoch."""
+    forwarded_requests = 0
+    # Each of 40 limiters gets one request, and each request increases the total.
+    for used_units in range(40):
         driver = make_widely_shared_driver(seed=used_units, now=11 * WIDELY_SHARED_EPOCH_MS - 100.0)
         send_widely_shared_request(driver, 1)
         driver.reply_to_counter_call(Outcome.OK, used_units + 1.0)
-        forwarded += 1 in driver.sent_attempts
-    assert forwarded <= 2.5 * WIDELY_SHARED_PLAN.burst
+        forwarded_requests += 1 in driver.sent_attempts
+    assert forwarded_requests <= 2.5 * WIDELY_SHARED_PLAN.burst
 
 
-def test_units_reported_ahead_of_a_rejection_are_taken_back_with_the_next_call() -> None:
-    """The call reported the unit before the decision."""
+def test_the_next_counter_call_takes_back_the_units_of_a_rejected_request() -> None:
+    """The first call reported the unit before the request was rejected."""
     driver = make_widely_shared_driver(seed=3)
     send_widely_shared_request(driver, 1)
     driver.reply_to_counter_call(Outcome.OK, 40.0)
@@ -64,74 +68,80 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.REJECTED, Outcome.CONNECT_FAILED])
 def test_a_held_request_is_decided_when_its_counter_call_fails(
-    wide_driver: PolicyDriver, outcome: Outcome
+    widely_shared_driver: PolicyDriver, outcome: Outcome
 ) -> None:
-    """The local split stands for the sample."""
-    send_widely_shared_request(wide_driver, 1)
-    wide_driver.reply_to_counter_call(outcome)
-    assert is_decided(wide_driver, 1)
+    """The even split of the quota replaces the sample."""
+    send_widely_shared_request(widely_shared_driver, 1)
+    widely_shared_driver.reply_to_counter_call(outcome)
+    assert is_decided(widely_shared_driver, 1)
 
 
-def test_a_held_request_is_decided_without_a_reply(wide_driver: PolicyDriver) -> None:
-    """The request is held no longer than the counter's time-out."""
-    send_widely_shared_request(wide_driver, 1)
-    wide_driver.advance_to(wide_driver.now + 300.0)
-    assert is_decided(wide_driver, 1)
+def test_a_held_request_is_decided_at_the_counter_timeout(widely_shared_driver: PolicyDriver) -> None:
+    """A request is held no longer than the time-out of the counter call."""
+    send_widely_shared_request(widely_shared_driver, 1)
+    widely_shared_driver.advance_to(widely_shared_driver.now + 300.0)
+    assert is_decided(widely_shared_driver, 1)
 
 
-def test_a_request_with_less_time_left_than_the_counter_may_take_is_not_held(
-    wide_driver: PolicyDriver,
+def test_a_request_that_expires_before_the_counter_timeout_is_not_held(
+    widely_shared_driver: PolicyDriver,
 ) -> None:
-    """Found at full size: a retry with 18 ms left was held for a reply after 36 ms, and was lost."""
-    send_widely_shared_request(wide_driver, 1, client_timeout=18.0)
-    assert is_decided(wide_driver, 1)
+    """Observed with a fleet of the target size: a retry with 18 ms left was held for 36 ms and lost."""
+    send_widely_shared_request(widely_shared_driver, 1, client_timeout=18.0)
+    assert is_decided(widely_shared_driver, 1)
 
 
-def test_a_held_request_of_a_disconnected_client_is_not_forwarded(wide_driver: PolicyDriver) -> None:
-    """Nobody waits for the response."""
-    send_widely_shared_request(wide_driver, 1)
-    wide_driver.deliver_event(ClientDisconnected(1))
-    wide_driver.reply_to_counter_call(Outcome.OK, 1.0)
-    assert 1 not in wide_driver.sent_attempts
+def test_a_held_request_of_a_disconnected_client_is_not_forwarded(widely_shared_driver: PolicyDriver) -> None:
+    """No client waits for the response."""
+    send_widely_shared_request(widely_shared_driver, 1)
+    widely_shared_driver.deliver_event(ClientDisconnected(1))
+    widely_shared_driver.reply_to_counter_call(Outcome.OK, 1.0)
+    assert 1 not in widely_shared_driver.sent_attempts
 
 
-def test_the_call_probability_falls_while_calls_time_out_and_recovers(wide_driver: PolicyDriver) -> None:
-    """The counter's load is controlled like a customer's."""
-    sampler = wide_driver.engine.usage_sampler
+def test_the_call_probability_falls_while_calls_time_out_and_recovers(
+    widely_shared_driver: PolicyDriver,
+) -> None:
+    """The load of the counter is limited by a probability, like the usage of a customer."""
+    sampler = widely_shared_driver.engine.usage_sampler
     for request_id in range(40):
-        wide_driver.advance_to(wide_driver.now + 200.0)
-        send_widely_shared_request(wide_driver, request_id, customer=request_id)
-        wide_driver.reply_to_all_counter_calls(Outcome.TIMEOUT)
-    lowered = sampler.call_probability
+        widely_shared_driver.advance_to(widely_shared_driver.now + 200.0)
+        send_widely_shared_request(widely_shared_driver, request_id, customer=request_id)
+        widely_shared_driver.reply_to_all_counter_calls(Outcome.TIMEOUT)
+    lowered_probability = sampler.call_probability
     for request_id in range(40, 400):
-        wide_driver.advance_to(wide_driver.now + 200.0)
-        send_widely_shared_request(wide_driver, request_id, customer=request_id)
-        wide_driver.reply_to_all_counter_calls(Outcome.OK, 1.0)
-    assert lowered < 0.2
+        widely_shared_driver.advance_to(widely_shared_driver.now + 200.0)
+        send_widely_shared_request(widely_shared_driver, request_id, customer=request_id)
+        widely_shared_driver.reply_to_all_counter_calls(Outcome.OK, 1.0)
+    assert lowered_probability < 0.2
     assert sampler.call_probability == 1.0
 
 
 def test_hundreds_of_limiters_without_a_counter_do_not_admit_a_flood() -> None:
-    """40 requests a second of a customer with a quota of 2: each limiter's part, for 20 seconds."""
-    forwarded = 0
-    received = 0
+    """A customer with a quota of 2 units per second sends 40 requests per second for 20 s.
+
+    The test simulates each of 120 limiters separately.
+    """
+    forwarded_requests = 0
+    received_requests = 0
     for seed in range(120):
         driver = make_widely_shared_driver(seed)
         for request_id in range(7):
             driver.advance_to(driver.now + 3000.0)
             send_widely_shared_request(driver, request_id)
-            received += 1
+            received_requests += 1
             driver.reply_to_all_counter_calls(Outcome.TIMEOUT)
             driver.complete_attempts_in_flight()
-            forwarded += bool(driver.sent_attempts.get(request_id))
-    assert received == 840
-    assert forwarded < 0.4 * received  # one a limiter at most, then its share of the rate
-
-
-def test_an_idle_limiter_sets_no_timer(wide_driver: PolicyDriver) -> None:
-    """Timers run only while there are requests or samples to expect."""
-    send_widely_shared_request(wide_driver, 1)
-    wide_driver.reply_to_counter_call(Outcome.OK, 1.0)
-    wide_driver.complete_attempts_in_flight()
-    wide_driver.advance_to(wide_driver.now + 60000.0)
-    assert not wide_driver.pending_timers
+            forwarded_requests += bool(driver.sent_attempts.get(request_id))
+    assert received_requests == 840
+    # Each limiter forwards at most one request at first, and then its share of the rate.
+    assert forwarded_requests < 0.4 * received_requests
+
+
+def test_an_idle_limiter_sets_no_timer(widely_shared_driver: PolicyDriver) -> None:
+    """Timers are set only while requests are open or samples are expected."""
+    send_widely_shared_request(widely_shared_driver, 1)
+    widely_shared_driver.reply_to_counter_call(Outcome.OK, 1.0)
+    widely_shared_driver.complete_attempts_in_flight()
+    widely_shared_driver.advance_to(widely_shared_driver.now + 60000.0)
+    assert not widely_shared_driver.pending_timers
