--- a/tests/configuration/__init__.py
+++ b/tests/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the configuration."""
+"""Tests of the configuration and its settings."""
--- a/tests/configuration/test_settings_forms.py
+++ b/tests/configuration/test_settings_forms.py
@@ -1,4 +1,4 @@
-"""Both forms of settings, nested JSON and `path=value` lines, through the one reader."""
+"""Tests of the two forms of settings, nested JSON and `path=value` lines, which have a common reader."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from tests.support.limiter_settings import make_raw_config, make_raw_settings
 
 
-def read_json(**changes: Any) -> SettingsReader:
-    """Return a reader of JSON settings with these top-level keys changed."""
+def make_json_reader(**changes: Any) -> SettingsReader:
+    """Return a reader of JSON settings in which these top-level keys are replaced."""
     return SettingsReader(flatten_settings(make_raw_settings(**changes)))
 
 
-def test_nested_settings_are_read_like_the_simulators_lines() -> None:
-    """One reader reads both forms, to the same settings."""
+def test_both_forms_are_read_to_the_same_settings() -> None:
+    """The nested JSON form and its conversion to lines are read to the same settings."""
     values = flatten_settings(make_raw_settings())
     lines = [f"{path}={format_value(value)}" for path, value in values.items()]
     assert "classes.count=3" in lines
@@ -40,9 +40,9 @@
     ("value", "integer"),
     [(3, 3), (3.0, 3), ("3", 3), ("1 000", 1000), ("1_000", 1000), ([3], 3), (1e22, 10**22), (None, 1)],
 )
-def test_integers_in_each_way_that_json_can_state_them(value: object, integer: int) -> None:
-    """An integer may come as 3.0, as text or as the only entry of a list; a null is absent."""
-    assert read_settings(read_json(limits={"maxAttempts": value})).max_attempts == integer
+def test_an_integer_is_accepted_in_each_json_notation(value: object, integer: int) -> None:
+    """An integer may be given as 3.0, as text or as the only entry of a list; null means a missing key."""
+    assert read_settings(make_json_reader(limits={"maxAttempts": value})).max_attempts == integer
 
 
 @pytest.mark.parametrize(
@@ -50,14 +50,14 @@
     [(2, 2.0), (2.5, 2.5), ("2.5", 2.5), ("1_0", 10.0), (10**400, math.inf), (-(10**400), -math.inf)],
     ids=["integer", "float", "text", "text_with_underscore", "huge", "huge_negative"],
 )
-def test_numbers_in_each_way_that_json_can_state_them(value: object, number: float) -> None:
+def test_a_number_is_accepted_in_each_json_notation(value: object, number: float) -> None:
     """An integer beyond the range of floats counts as infinite, as it does in the text form."""
-    assert read_settings(read_json(extra={"maxUnits": value})).max_units == number
+    assert read_settings(make_json_reader(extra={"maxUnits": value})).max_units == number
 
 
 def test_negative_zero_reads_as_zero() -> None:
-    """The sign would show in a message about the value."""
-    value = read_settings(read_json(extra={"maxUnits": -0.0})).max_units
+    """Otherwise messages would print the value as -0.0."""
+    value = read_settings(make_json_reader(extra={"maxUnits": -0.0})).max_units
     assert math.copysign(1.0, value) == 1.0
 
 
@@ -132,13 +132,13 @@
         ),
     ],
 )
-def test_a_senseless_json_value_is_named_in_the_text_forms_words(
+def test_the_error_of_an_invalid_json_value_quotes_it_in_the_text_form(
     changes: dict[str, Any], message: str
 ) -> None:
-    """The message quotes the value as the text form would state it."""
-    with pytest.raises(SettingsError) as raised:
-        read_settings(read_json(**changes))
-    assert str(raised.value) == message
+    """The message quotes the value in the notation of the text form."""
+    with pytest.raises(SettingsError) as error_info:
+        read_settings(make_json_reader(**changes))
+    assert str(error_info.value) == message
 
 
 @pytest.mark.parametrize(
@@ -151,15 +151,15 @@
         {"limits": {"maxAttempts": 5}, "limits.maxAttempts": 7},
     ],
 )
-def test_keys_that_make_lines_of_their_own_are_read_as_these_lines(document: dict[str, Any]) -> None:
-    """A dotted key, or one with blanks, an equals sign or a line break, means what its line would mean."""
+def test_a_json_key_that_contains_text_form_syntax_is_read_as_text_lines(document: dict[str, Any]) -> None:
+    """A key with a dot, blank, equals sign or line break is read like the lines that it forms as text."""
     reader = SettingsReader(flatten_settings(document))
     assert reader.read_text("limits.maxAttempts")[0] == "7"
 
 
-def test_text_that_utf_8_cannot_encode_is_an_error_of_the_settings() -> None:
-    """The message gives the place in the settings as lines."""
-    with pytest.raises(ConfigError) as raised:
+def test_settings_text_that_utf_8_cannot_encode_raises_a_config_error() -> None:
+    """The message gives the position in the settings when written as lines."""
+    with pytest.raises(ConfigError) as error_info:
         parse_config(make_raw_config(settings={"a": 1, "b": "\ud800"}))
-    place = "character '\\ud800' in position 6: surrogates not allowed"
-    assert str(raised.value) == f"settings: 'utf-8' codec can't encode {place}"
+    error_detail = "character '\\ud800' in position 6: surrogates not allowed"
+    assert str(error_info.value) == f"settings: 'utf-8' codec can't encode {error_detail}"
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the simulator's wire and adapter."""
+"""Tests of the simulator's wire format and adapter."""
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as the simulator meets it: batches in, replies out, and input that cannot be used."""
+"""Tests of the adapter as the simulator uses it: batches, their replies, and invalid input."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 def test_empty_batch_has_empty_reply() -> None:
-    """The empty batch printed in the description gets a reply without actions."""
+    """The empty batch given in the description of the wire format gets a reply without actions."""
     assert run_adapter(bytes.fromhex("000000000000000840c06e2000000000")) == [b""]
 
 
 def test_a_request_is_sent_to_the_listed_server() -> None:
-    """Instance 3 answers a request with a FORWARD of it to the server of its list."""
+    """Instance 3 replies to a request with a FORWARD to the server of its endpoint list."""
     _, reply = run_adapter(
         encode_batch(0.0, encode_endpoint_page(), encode_open_instance(), encode_registry()),
         encode_batch(1000.0, encode_client_request(request_id=9)),
@@ -60,8 +60,8 @@
         (encode_batch(0.0, COUNTER_REPLY_WITH_UNKNOWN_OUTCOME), "unknown outcome code 999"),
     ],
 )
-def test_malformed_input_is_reported(data: bytes, message: str) -> None:
-    """Input that does not follow the wire raises an error that says what is wrong."""
+def test_malformed_input_raises_an_error_that_describes_it(data: bytes, message: str) -> None:
+    """Input that violates the wire format raises a WireError with the reason."""
     with pytest.raises(WireError, match=message):
         run_adapter(data)
 
@@ -76,15 +76,15 @@
         (b"quotaRate=1.0", b"quotaRate=nan", "rate"),
     ],
 )
-def test_wrong_settings_are_named(text: bytes, replacement: bytes, name: str) -> None:
-    """A missing or senseless setting of a new instance is named in the error."""
+def test_an_invalid_setting_is_named_in_the_error(text: bytes, replacement: bytes, name: str) -> None:
+    """The error names a missing or invalid setting of a new instance."""
     settings_text = SETTINGS_TEXT.replace(text, replacement)
     with pytest.raises(ValueError, match=name):
         run_adapter(encode_batch(0.0, encode_open_instance(settings_text=settings_text)))
 
 
-def test_unknown_keys_and_report_fields_are_skipped() -> None:
-    """Settings and load metrics that the limiter does not know leave the others readable."""
+def test_unknown_setting_keys_and_load_report_fields_are_skipped() -> None:
+    """Setting keys and load metrics that the limiter does not know do not prevent reading the others."""
     reader = SettingsReader(decode_settings_text(SETTINGS_TEXT))
     assert read_load_report_metrics(reader) == (LoadMetric.SERVICE_TIME, None, LoadMetric.THROUGHPUT)
     assert read_settings(reader).limiter_count == 3
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The decoder and the encoder against the frames printed in the wire's description."""
+"""Tests of the decoder and the encoder with the frames given in the description of the wire format."""
 
 from __future__ import annotations
 
@@ -95,8 +95,8 @@
     ],
     ids=["CALL", "WAKE", "TOTAL", "COMPLETED", "HEAD_RECEIVED", "PING_RESULT", "MAIL", "RETIRE"],
 )
-def test_worked_events_decode(frame: str, event: Record) -> None:
-    """The frames printed in the description decode to the events that it explains."""
+def test_the_documented_event_frames_decode(frame: str, event: Record) -> None:
+    """The frames given in the description decode to the events that it describes."""
     assert EventDecoder().decode(bytes.fromhex(frame), 1) == [(3, event)]
 
 
@@ -114,12 +114,12 @@
     ids=["delta", "full", "cached", "failed"],
 )
 def test_each_form_of_the_registry_decodes(form: int, event: Event) -> None:
-    """A registry record takes its entries from the page that came before, in the form that it names."""
+    """A registry record has a form, and takes its endpoints from a page that was received before."""
     assert EventDecoder().decode(encode_endpoint_page() + encode_registry(form=form), 2) == [(3, event)]
 
 
-def test_a_page_serves_later_batches() -> None:
-    """A page stays known after the batch in which it came."""
+def test_an_endpoint_page_is_kept_for_later_batches() -> None:
+    """Records of later batches can refer to a page."""
     decoder = EventDecoder()
     assert decoder.decode(encode_endpoint_page(), 1) == []
     [(_, event)] = decoder.decode(encode_registry(), 1)
@@ -127,7 +127,7 @@
 
 
 def test_records_of_one_batch_go_to_their_instances_in_order() -> None:
-    """Each record carries the number of its instance."""
+    """Each record has the number of the instance that it is for."""
     body = bytes.fromhex(TIMER_FIRED_FRAME + CLIENT_DISCONNECTED_FRAME)
     assert EventDecoder().decode(body, 2) == [(3, TimerFired(0x4D)), (5, ClientDisconnected(0x0E6F2B19))]
 
@@ -163,13 +163,13 @@
         "PUBLISH",
     ],
 )
-def test_worked_actions_encode(instance: int, action: Action, frame: str) -> None:
-    """Actions encode to the frames printed in the description."""
+def test_actions_encode_to_the_documented_frames(instance: int, action: Action, frame: str) -> None:
+    """Actions encode to the frames given in the description."""
     assert encode_action(instance, action) == bytes.fromhex(frame)
 
 
 def test_every_action_has_a_code_of_its_own() -> None:
-    """No type of action is without an encoder."""
+    """Each type of action has an encoder."""
     examples: list[Action] = [
         SendAttempt(1, SERVER_ID, timeout=0.0),
         RejectRequest(1),
