--- a/tests/scale/test_cli.py
+++ b/tests/scale/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line of scale: what it reads, writes and says of a wrong file."""
+"""Tests of the command line of scale: its input, its output and its errors about an invalid file."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from scale.experiment import load_experiment
 
 ROOT = Path(__file__).parents[2]
-SHIPPED = sorted((ROOT / "scale" / "experiments").glob("hollow-*.toml"))
-SMALL = ROOT / "scale" / "experiments" / "hollow-small.toml"
+HOLLOW_EXPERIMENTS = sorted((ROOT / "scale" / "experiments").glob("hollow-*.toml"))
+SMALL_EXPERIMENT = ROOT / "scale" / "experiments" / "hollow-small.toml"
 
 
-@pytest.mark.parametrize("path", SHIPPED, ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", HOLLOW_EXPERIMENTS, ids=lambda path: path.stem)
 def test_every_shipped_experiment_can_be_read(path: Path) -> None:
     assert load_experiment(path, 7).seed == 7  # type: ignore[attr-defined]
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "expected_message"),
     [
         ("[servers]", "colour = 1\n[servers]", "colour: unknown key for this kind of experiment"),
         ("per_limiter", "per_limitr", "servers.per_limitr: unknown key for this kind of experiment"),
@@ -45,10 +45,10 @@
         ('kind = "hollow"', "kind = ", "invalid TOML"),
     ],
 )
-def test_a_wrong_file_gives_one_plain_line_and_exit_code_2(
-    tmp_path: Path, old: str, new: str, says: str
+def test_an_invalid_file_prints_one_error_line_and_exits_with_code_2(
+    tmp_path: Path, old: str, new: str, expected_message: str
 ) -> None:
-    text = SMALL.read_text()
+    text = SMALL_EXPERIMENT.read_text()
     assert old in text
     path = tmp_path / "wrong.toml"
     path.write_text(text.replace(old, new, 1))
@@ -57,32 +57,32 @@
     assert result.stdout == ""
     assert result.stderr.startswith("scale: ")
     assert result.stderr.count("\n") == 1
-    assert says in result.stderr
+    assert expected_message in result.stderr
 
 
 @pytest.mark.parametrize(
     "arguments",
-    [["no-such.toml"], [str(SMALL), "--seed", "-1"], [str(SMALL), "--out", "no/such"]],
+    [["no-such.toml"], [str(SMALL_EXPERIMENT), "--seed", "-1"], [str(SMALL_EXPERIMENT), "--out", "no/such"]],
     ids=["experiment", "seed", "out"],
 )
-def test_a_wrong_argument_gives_one_plain_line_and_exit_code_2(arguments: list[str]) -> None:
+def test_an_invalid_argument_prints_one_error_line_and_exits_with_code_2(arguments: list[str]) -> None:
     result = CliRunner().invoke(app, ["run", *arguments])
     assert result.exit_code == 2
     assert result.stderr.count("\n") == 1
 
 
-def test_lines_go_to_the_file_or_to_stdout_and_the_table_to_stderr(tmp_path: Path) -> None:
-    out = tmp_path / "out.jsonl"
-    arguments = ["run", str(SMALL), "--seed", "3"]
-    # In a process of its own, so that nothing follows from the order of sets or the ids of objects.
+def test_result_lines_go_to_the_file_or_to_stdout_and_the_table_to_stderr(tmp_path: Path) -> None:
+    out_path = tmp_path / "out.jsonl"
+    arguments = ["run", str(SMALL_EXPERIMENT), "--seed", "3"]
+    # A separate process shows that the results do not depend on the order of sets or the ids of objects.
     command = [sys.executable, "-m", "scale", *arguments]
-    printed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
-    filed = CliRunner().invoke(app, [*arguments, "--out", str(out), "--times"])
-    assert filed.exit_code == 0
-    assert filed.stdout == ""
-    *result_lines, times_line = out.read_text().splitlines()
-    assert printed.stdout.splitlines() == result_lines
+    run_to_stdout = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
+    run_to_file = CliRunner().invoke(app, [*arguments, "--out", str(out_path), "--times"])
+    assert run_to_file.exit_code == 0
+    assert run_to_file.stdout == ""
+    *result_lines, times_line = out_path.read_text().splitlines()
+    assert run_to_stdout.stdout.splitlines() == result_lines
     assert json.loads(result_lines[0])["seed"] == 3
     assert "wall_s" in json.loads(times_line)
-    assert "news_never_learnt" in printed.stderr
-    assert "20.0 s of 20.0 s" in printed.stderr
+    assert "news_never_learnt" in run_to_stdout.stderr
+    assert "20.0 s of 20.0 s" in run_to_stdout.stderr
--- a/tests/scale/test_hollow_simulation.py
+++ b/tests/scale/test_hollow_simulation.py
@@ -1,4 +1,4 @@
-"""Simulations of hollow experiments: the seed determines the figures, and gossip reaches whom it should."""
+"""Tests of simulations of hollow experiments: determinism, outcomes of requests, gossip and recovery."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 from tests.support.hollow_experiment import make_hollow_experiment
 
 MAX_GOSSIP_DELAY_MS = 36
-# Seven other limiters, and a message may fill 0.8 of an intake of 40 a second; 200 ms is the least.
+# There are seven other limiters. Gossip uses at most 0.8 of the receive limit of 40 messages per second, and
+# the minimum interval is 200 ms.
 GOSSIP_INTERVAL_MS = max(200.0, 1000 * 7 / (0.8 * 40))
 
 FAULTS: list[dict[str, Any]] = [
@@ -31,15 +32,15 @@
 ]
 
 
-def result_lines(experiment: HollowExperiment) -> list[str]:
-    """Play the experiment; its result lines as JSON."""
+def run_to_result_lines(experiment: HollowExperiment) -> list[str]:
+    """Run the experiment and return its result lines as JSON."""
     lines: list[str] = []
     run(experiment, lambda line: lines.append(json.dumps(line)), lambda _progress: None)
     return lines
 
 
-def played_simulation(experiment: HollowExperiment, unreachable_limiter: int | None = None) -> Simulation:
-    """Play the experiment's duration; gossip to one limiter may be dropped."""
+def run_simulation(experiment: HollowExperiment, unreachable_limiter: int | None = None) -> Simulation:
+    """Simulate the duration of the experiment; gossip to `unreachable_limiter` is dropped."""
     simulation = Simulation(experiment)
     gossip_network = simulation.limiter_host.gossip_network
     deliver = gossip_network.deliver
@@ -55,9 +56,9 @@
 
 def test_the_seed_determines_every_byte_and_each_request_has_one_outcome() -> None:
     experiment = make_hollow_experiment(faults=FAULTS, regions=3)
-    lines = result_lines(experiment)
-    assert lines == result_lines(experiment)
-    assert lines != result_lines(msgspec.structs.replace(experiment, seed=2))
+    lines = run_to_result_lines(experiment)
+    assert lines == run_to_result_lines(experiment)
+    assert lines != run_to_result_lines(msgspec.structs.replace(experiment, seed=2))
     summary = json.loads(lines[0])
     outcomes = ("served", "refused", "failed", "lost", "unreachable")
     assert sum(summary[outcome] for outcome in outcomes) == summary["tries"] > 50
@@ -68,7 +69,7 @@
     assert [json.loads(line)["fault"] for line in lines[1:]] == [fault["kind"] for fault in FAULTS]
 
 
-def test_a_second_final_answer_or_none_fails_the_run() -> None:
+def test_a_request_with_two_outcomes_or_none_fails_the_run() -> None:
     simulation = Simulation(make_hollow_experiment())
     limiter = simulation.limiter_host.limiters[0]
     while not limiter.requests:
@@ -81,26 +82,26 @@
         simulation.request_tracker.end_request(request, RequestOutcome.REJECTED)
 
 
-def test_all_usage_is_learnt_within_the_gossip_interval_where_no_message_is_dropped() -> None:
-    ages = played_simulation(make_hollow_experiment(network={"peer_loss": 0.0})).gossip_ages
+def test_all_usage_is_learnt_within_the_gossip_interval_if_no_message_is_dropped() -> None:
+    ages = run_simulation(make_hollow_experiment(network={"peer_loss": 0.0})).gossip_ages
     assert ages.expected_pair_count == ages.learnt_pair_count > 100
-    # The interval is drawn up to a fifth longer.
+    # A random factor lengthens the interval by up to a fifth.
     assert max(ages.counts_by_age) <= 1.2 * GOSSIP_INTERVAL_MS + MAX_GOSSIP_DELAY_MS
 
 
-def test_a_limiter_that_receives_no_gossip_shows_up_as_usage_never_learnt() -> None:
+def test_usage_never_learnt_is_counted_if_a_limiter_receives_no_gossip() -> None:
     experiment = make_hollow_experiment(network={"peer_loss": 0.0})
     assert any(0 in customer.used_limiters for customer in Simulation(experiment).customers)
-    ages = played_simulation(experiment, unreachable_limiter=0).gossip_ages
+    ages = run_simulation(experiment, unreachable_limiter=0).gossip_ages
     assert 0 < ages.learnt_pair_count < ages.expected_pair_count
 
 
-def test_nothing_is_learnt_where_all_messages_are_dropped() -> None:
-    ages = played_simulation(make_hollow_experiment(network={"peer_loss": 1.0})).gossip_ages
+def test_no_usage_is_learnt_if_all_messages_are_dropped() -> None:
+    ages = run_simulation(make_hollow_experiment(network={"peer_loss": 1.0})).gossip_ages
     assert ages.learnt_pair_count == 0 < ages.expected_pair_count
 
 
-def test_partitioned_regions_receive_no_gossip_of_each_other_until_they_are_connected() -> None:
+def test_partitioned_regions_exchange_no_gossip_until_they_are_reconnected() -> None:
     simulation = Simulation(make_hollow_experiment(zones=2, regions=2, network={"peer_loss": 0.0}))
     receivers: list[int] = []
     message = GossipMessage(0, b"message", {})
@@ -117,7 +118,7 @@
     assert sorted(receivers) == [1, 2, 3, 4, 5, 6, 7]
 
 
-def test_recovery_is_when_the_windows_are_back_for_good() -> None:
+def test_recovery_is_complete_when_no_later_window_exceeds_the_level_before_the_fault() -> None:
     tally = Tally(make_hollow_experiment(duration=30000.0, window=2000.0, warm_up=0.0))
     tally.units_beyond_quota_by_bin = [1.0] * 31
     assert tally.measure_recovery(10000.0) == {"before": 2.0, "worst": 2.0, "recovery_ms": 0.0}
