--- a/tests/scale/test_process_experiments.py
+++ b/tests/scale/test_process_experiments.py
@@ -1,4 +1,4 @@
-"""Experiments of the kinds `process` and `module`: counts of small sweeps and what is derived; no times."""
+"""Tests of experiments of the kinds `process` and `module`: counts and derived figures, but no times."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 Line = dict[str, Any]
 
 
-def result_lines(file_name: str) -> list[Line]:
-    """Play a shipped experiment; its result lines, as read back from JSON."""
+def run_to_result_lines(file_name: str) -> list[Line]:
+    """Run a shipped experiment and return its result lines after a round trip through JSON."""
     lines: list[ResultLine] = []
     run(load_experiment(EXPERIMENTS / file_name, None), lines.append, lambda _progress: None)
     return [json.loads(json.dumps(line)) for line in lines]
 
 
-def lines_of(lines: list[Line], kind: str) -> list[Line]:
-    """Lines whose `line` is of that kind."""
+def select_lines(lines: list[Line], kind: str) -> list[Line]:
+    """Return the lines of a kind, which is the value of their key `line`."""
     return [line for line in lines if line["line"] == kind]
 
 
 def check_size_line(line: Line) -> None:
-    """A limiter process got ready by one call for the list, without a warning."""
+    """Check that a limiter process became ready with one call for the endpoint list and without a warning."""
     assert line["ready_s"] is not None, line
     assert line["lists_asked"] == 1, line
     assert not line["warnings"], line
@@ -40,20 +40,20 @@
 
 
 def check_phase_line(line: Line) -> None:
-    """The emulated peers did what the phase says, and each request got a response."""
-    phase = line["phase"]
-    assert line["datagrams_in"] == (0 if phase == "idle" else 10)
-    assert line["changes"] == (6 if phase in ("changes", "load") else 0)
-    # The last one may be acknowledged with the phase's end, in the next.
+    """Check that the emulated peers generated the load of the phase and that each request got a response."""
+    phase_name = line["phase"]
+    assert line["datagrams_in"] == (0 if phase_name == "idle" else 10)
+    assert line["changes"] == (6 if phase_name in ("changes", "load") else 0)
+    # The last change of a phase may be acknowledged in the next phase.
     assert line["changes"] - 1 <= line["changes_heard"] <= line["changes"] + 1
-    assert line["requests"] == (10 if phase == "load" else 0)
+    assert line["requests"] == (10 if phase_name == "load" else 0)
     assert line["lost"] == 0
     assert sum(line["answers"].values()) == line["requests"]
     assert set(line["answers"]) <= {"200", "429", "503"}
 
 
 def check_load_line(line: Line) -> None:
-    """The requests of the phase `load` reached servers and counter, and were gossiped about."""
+    """Check that the requests of the phase `load` caused traffic with servers, counter and peers."""
     assert line["answers"]["200"]
     assert line["nodes_bytes_in"]
     assert line["added_p50_ms"] > 0
@@ -62,50 +62,53 @@
     assert line["counter_busy"] == 0
 
 
-def test_a_small_sweep_of_real_processes() -> None:
-    lines = result_lines("process-small.toml")
-    sizes = lines_of(lines, "size")
+def test_a_small_sweep_of_limiter_processes_gives_the_expected_counts() -> None:
+    lines = run_to_result_lines("process-small.toml")
+    sizes = select_lines(lines, "size")
     assert [line["servers"] for line in sizes] == [20, 40, 60]
     for line in sizes:
         check_size_line(line)
-    phases = lines_of(lines, "phase")
+    phases = select_lines(lines, "phase")
     assert [line["phase"] for line in phases] == ["idle", "datagrams", "changes", "load"] * 3
     for line in phases:
         check_phase_line(line)
         if line["phase"] == "load":
             check_load_line(line)
-    slopes = {(line["of"], line["phase"]): line for line in lines_of(lines, "slope")}
+    slopes = {(line["of"], line["phase"]): line for line in select_lines(lines, "slope")}
     assert 130 < slopes["list_bytes", ""]["each"] < 200
     assert ("core", "load") in slopes
 
 
-def test_a_small_sweep_of_the_policy_engine() -> None:
-    lines = result_lines("module-small.toml")
-    sizes = lines_of(lines, "size")
+def test_a_small_sweep_of_the_policy_engine_gives_the_expected_counts() -> None:
+    lines = run_to_result_lines("module-small.toml")
+    sizes = select_lines(lines, "size")
     assert [line["servers"] for line in sizes] == [20, 40, 60]
     for line in sizes:
         assert (line["list_n"], line["change_n"], line["round_idle_n"]) == (1, 12, 5)
-        assert line["message_n"] == 100 + 64  # one of each customer at first, then 32 a second for 2 s
+        # One message about each customer at first, then 32 messages per second for 2 s.
+        assert line["message_n"] == 100 + 64
         assert line["ended_n"] == 100 - line["refused"]
-        # Requests go on until two attempts stay in flight, 8 times at most.
+        # At most 8 further requests are sent until two attempts remain in flight.
         assert 102 <= line["request_n"] <= 108
         assert line["attempts_out"] == 2
-        assert line["senders_heard"] == 49  # each of the others, in their turn
-    slopes = {line["of"] for line in lines_of(lines, "slope")}
+        # Each of the other limiters sends in turn.
+        assert line["senders_heard"] == 49
+    slopes = {line["of"] for line in select_lines(lines, "slope")}
     assert slopes >= {"change_us", "round_us", "request_us"}
 
 
 @pytest.mark.parametrize(
-    "wrong", ["servers = [0]", "servers = []", "servers = [1]\npace = 1", 'servers = "1"', "servers = [1.5]"]
+    "invalid_line",
+    ["servers = [0]", "servers = []", "servers = [1]\npace = 1", 'servers = "1"', "servers = [1.5]"],
 )
-def test_a_wrong_key_is_named(wrong: str, tmp_path: Path) -> None:
+def test_an_invalid_key_is_named_in_the_error(invalid_line: str, tmp_path: Path) -> None:
     path = tmp_path / "wrong.toml"
-    path.write_text(f'kind = "process"\nlimiters = [2]\n{wrong}\n')
+    path.write_text(f'kind = "process"\nlimiters = [2]\n{invalid_line}\n')
     with pytest.raises(ExperimentError, match=r"^(servers|pace)"):
         load_experiment(path, None)
 
 
-def test_the_load_of_a_fleet_whose_list_is_pushed() -> None:
+def test_the_computed_load_of_a_fleet_with_a_pushed_endpoint_list() -> None:
     load_figures = compute_fleet_load(
         LimiterFleet(
             limiter_count=200,
@@ -116,7 +119,8 @@
             gossip_intake_per_s=40,
         )
     )
-    assert load_figures.discovery_call_rate == pytest.approx(200.0)  # one a second each, while little changes
+    # While the list seldom changes, each limiter makes one call per second.
+    assert load_figures.discovery_call_rate == pytest.approx(200.0)
     assert load_figures.discovery_entry_rate == pytest.approx(88.0)
     assert load_figures.counter_call_rate == pytest.approx(150.0)
     assert load_figures.gossip_interval_s == pytest.approx(199 / 32)
@@ -130,7 +134,7 @@
         pytest.param(0.0, 0.0, 360.0, id="a watch without changes lasts 20 s"),
     ],
 )
-def test_the_load_of_a_large_fleet_that_polls(
+def test_the_computed_load_of_a_large_fleet_that_polls_discovery(
     changes_per_s: float, requests_per_s: float, discovery_calls: float
 ) -> None:
     load_figures = compute_fleet_load(
