--- a/tests/configuration/test_settings_forms.py
+++ b/tests/configuration/test_settings_forms.py
@@ -21,7 +21,7 @@
     return SettingsReader(flatten_settings(make_raw_settings(**changes)))
 
 
-def test_both_forms_are_read_to_the_same_settings() -> None:
+def test_both_forms_give_the_same_settings() -> None:
     """The nested JSON form and its conversion to lines are read to the same settings."""
     values = flatten_settings(make_raw_settings())
     lines = [f"{path}={format_value(value)}" for path, value in values.items()]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -37,7 +37,7 @@
 def test_restarted_servers_are_neither_starved_nor_overloaded_by_many_limiters(
     limiters: int, seed: int
 ) -> None:
-    """Without slow start, each limiter prefers a cold server, at which it has no attempt in flight."""
+    """Seen in an earlier version: cold servers, which had no attempt in flight, had the lowest cost."""
     cold_servers = simulate_crash_and_cold_restart(limiters, seed)
     assert all(len(server.arrivals) >= MIN_ARRIVALS for server in cold_servers), (
         "slow start sent fewer than 12 attempts to a server"
--- a/tests/scale/test_hollow_simulation.py
+++ b/tests/scale/test_hollow_simulation.py
@@ -118,7 +118,7 @@
     assert sorted(receivers) == [1, 2, 3, 4, 5, 6, 7]
 
 
-def test_recovery_is_complete_when_no_later_window_exceeds_the_level_before_the_fault() -> None:
+def test_recovery_is_measured_until_all_later_windows_have_recovered() -> None:
     tally = Tally(make_hollow_experiment(duration=30000.0, window=2000.0, warm_up=0.0))
     tally.units_beyond_quota_by_bin = [1.0] * 31
     assert tally.measure_recovery(10000.0) == {"before": 2.0, "worst": 2.0, "recovery_ms": 0.0}
