--- a/limiter/policy/admission.py
+++ b/limiter/policy/admission.py
@@ -1,10 +1,10 @@
 """Admission control: forwards or rejects each new request, or holds it until the counter replies.
 
-A request of a customer that this limiter samples often enough is decided at once. For a widely shared
-customer, whose requests reach one limiter too rarely, the decision uses gossip while gossip is fresh, and
-otherwise waits for a reply of the counter. If no counter call can be made either, the request is admitted
-at random, with the fraction of the customer's recent requests that was admitted as the probability. The
-rules are in `admission_rules.py`. Types are defined in limiter/model. Times are in milliseconds.
+A request of a customer that is not widely shared is decided at once. For a widely shared customer, whose
+requests reach one limiter too rarely to sample its usage, the decision uses gossip while gossip is fresh, and
+otherwise waits for a reply of the counter. If no counter call can be made either, the request is admitted at
+random, with the fraction of the customer's recent requests that was admitted as the probability. The rules
+are in `admission_rules.py`. Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 class AdmissionController:
     """Admits, holds or rejects each new request.
 
-    Args:
+    Attributes:
         context: State shared by the components of the engine.
         customers: The customers with recent requests.
         usage_sampler: Calls the counter and processes its replies.
@@ -114,8 +114,8 @@
     def _hold_for_slot_total(self, now: float, request: OpenRequest) -> bool:
         """Hold a request until the counter returns the total of the current slot.
 
-        The total shows whether the request fits into the slot. It counts all requests for which the counter
-        was asked, whether they are admitted or not.
+        The total shows whether the request fits into the slot. The total includes all requests for which the
+        counter was called, whether they are admitted or not.
 
         Returns:
             Whether the request is held.
@@ -160,7 +160,7 @@
             self._decide_held_requests(now, customer, has_sample=reply.outcome is Outcome.OK)
 
     def handle_housekeeping(self, now: float) -> None:
-        """Decide on requests whose counter call is overdue, and report usage that is overdue for a report."""
+        """Decide on requests whose counter call is overdue, and report usage whose report is overdue."""
         for customer in self.housekeeping.take_due(now):
             if self.held_requests.is_call_overdue(now, customer):
                 self._decide_held_requests(now, customer, has_sample=False)
--- a/limiter/policy/admission_rules.py
+++ b/limiter/policy/admission_rules.py
@@ -15,10 +15,10 @@
 from limiter.policy.outlier_detection import OutlierDetector
 from limiter.policy.usage_gossip import UsageGossip
 
-# Weight of the newest decision in the moving average of a customer's admitted requests.
+# Weight of the newest decision in the moving average of a customer's admitted fraction.
 DECISION_WEIGHT = 0.3
-# Weight of the newest decision in the moving average of a plan. It is smaller, because decisions on many
-# customers contribute to it.
+# Weight of the newest decision in the moving average of a plan's admitted fraction. It is smaller, because
+# decisions on many customers contribute to that average.
 PLAN_DECISION_WEIGHT = DECISION_WEIGHT / 10
 
 
@@ -99,12 +99,16 @@
         return True
 
     def _is_admitted_without_sample(self, customer: Customer) -> bool:
-        """Admit at random, by the fraction of recent requests admitted, within this limiter's rate share."""
+        """Return the result of a random draw.
+
+        The probability is the fraction of the customer's recent requests that was admitted, limited to the
+        tokens in the fallback bucket, which refills at this limiter's even share of the rate.
+        """
         probability = min(customer.admitted_fraction, customer.local_share.fallback_tokens)
         return self._context.random.random() < probability
 
     def _is_admitted_by_random_draw(self, request: OpenRequest) -> bool:
-        """Admit at random, by the admission probability, unless it was applied when the request arrived."""
+        """Draw by the admission probability; return False if this was done when the request arrived."""
         customer = request.customer
         if customer.plan.rate <= 0 or request.admission.is_random_draw_done:
             return False
--- a/limiter/policy/admission_state.py
+++ b/limiter/policy/admission_state.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, eq=False)
 class AdmissionState:
-    """The part of an open request that only admission control writes.
+    """The state of an open request that only admission control modifies.
 
     Attributes:
         within_quota: Whether the customer's quota covered the request's units.
--- a/limiter/policy/attempt_dispatch.py
+++ b/limiter/policy/attempt_dispatch.py
@@ -46,11 +46,12 @@
 class RetrySafety(Enum):
     """What a further attempt of a request could cause."""
 
-    SAFE = auto()  # The request has not run, or it is idempotent.
-    DEDUPLICATED = (
-        auto()
-    )  # The request may have run, but servers still detect a repeat by its idempotency key.
-    UNSAFE = auto()  # The request may run twice, and no server would detect it.
+    # The request has not run, or it is idempotent.
+    SAFE = auto()
+    # The request may have run, but servers still detect a duplicate by its idempotency key.
+    DEDUPLICATED = auto()
+    # The request may run twice, and no server would detect that.
+    UNSAFE = auto()
 
 
 @dataclass(eq=False)
--- a/limiter/policy/concurrency_limit.py
+++ b/limiter/policy/concurrency_limit.py
@@ -21,15 +21,16 @@
 from limiter.policy.usage_gossip import UsageGossip
 
 # Queueing delay at which the fleet counts as fully loaded, as a fraction of the difference between the
-# shortest latency objective and the idle latency. The second value applies if a limiter observes little of a
-# server's load: attempts of several limiters then coincide at a server by chance, which adds delay.
+# shortest latency objective and the idle latency. The less of a server's load one limiter observes, the
+# closer the fraction is to the second value: attempts of several limiters then coincide at a server by
+# chance, which adds delay.
 FULL_LOAD_QUEUEING_FRACTION = 0.2
 UNOBSERVED_LOAD_QUEUEING_FRACTION = 0.5
 
 # Minimum limit while the fleet is not overloaded: a single attempt in flight is normal and no sign of load.
 MIN_CONCURRENCY_LIMIT = 2.0
 
-# Minimum limit at any overload of the fleet: without any attempt a limiter would not notice the recovery.
+# Minimum limit, however overloaded the fleet is: without any attempt a limiter would not notice the recovery.
 MIN_OVERLOADED_CONCURRENCY_LIMIT = 1.0
 
 # Limit on the attempts in flight from all limiters to one server at full capacity: initial value and bounds.
@@ -52,7 +53,7 @@
 # not respond, the fleet counts as loaded.
 MAX_UNRESPONSIVE_SERVERS_FRACTION = 1 / 4
 
-# Lower bounds of a utilization and of a limit in a divisor.
+# Lower bounds of a utilization and of a limit that are used as divisors.
 MIN_UTILIZATION = 1e-6
 MIN_LIMIT_DIVISOR = 1e-9
 
@@ -75,8 +76,8 @@
         server_selector: Has the servers and the attempts in flight to each of them.
         usage_gossip: Has the load that the other limiters report.
         in_flight: Number of attempts in flight from this limiter.
-        stalled_attempts: How many of these say nothing about the load of the fleet, as of the last update:
-            they are presumed lost or were sent to unresponsive servers.
+        stalled_attempts: Number of these attempts that give no information about the load of the fleet, as of
+            the last update: they are presumed lost or were sent to unresponsive servers.
         max_in_flight: Limit on the attempts in flight from this limiter; 0 until an endpoint list was
             received.
         max_attempts_per_server: Limit on the attempts in flight from all limiters to one server at full
@@ -144,7 +145,7 @@
     def mean_in_flight(self) -> float:
         """Return the number of active attempts, averaged over the limiters if their gossip is needed.
 
-        The average is used if gossip is enabled and this limiter observes only a part of a server's load.
+        The average is used if gossip is enabled and this limiter does not observe all of a server's load.
         """
         if self.usage_gossip.is_enabled and self.server_selector.slow_start.unobserved_load_fraction:
             return self.usage_gossip.peer_load.mean_in_flight(self.active_attempts)
@@ -176,7 +177,7 @@
     def _update_max_attempts_per_server(self) -> None:
         """Multiply the limit per server by target / utilization, within bounds.
 
-        It is raised only while more than half of the limit is in use.
+        The limit per server is raised only while more than half of `max_in_flight` is in use.
         """
         target_ratio = TARGET_UTILIZATION / max(self.utilization, MIN_UTILIZATION)
         factor = clamp(target_ratio, MIN_ADJUSTMENT_FACTOR, MAX_ADJUSTMENT_FACTOR)
@@ -187,7 +188,7 @@
             )
 
     def _count_stalled_attempts(self, now: float) -> int:
-        """Return how many of the attempts in flight say nothing about the load of the fleet.
+        """Return how many of the attempts in flight give no information about the load of the fleet.
 
         These are the attempts that are presumed lost. The attempts at unresponsive servers count as well,
         unless the fraction of such servers exceeds `MAX_UNRESPONSIVE_SERVERS_FRACTION`.
--- a/limiter/policy/context.py
+++ b/limiter/policy/context.py
@@ -11,7 +11,7 @@
 from limiter.model.actions import Action, SetTimer
 from limiter.model.settings import Settings
 
-# Start time of an engine before its first event; earlier than every time of the clock.
+# Value of `EngineContext.started_at` before the first event. It is earlier than every time of the clock.
 NOT_STARTED_TIME_MS = -1.0
 
 
--- a/limiter/policy/customer.py
+++ b/limiter/policy/customer.py
@@ -1,7 +1,7 @@
 """One limiter's record of a customer, and the table of customers with recent requests.
 
-The nested records `SampledUsage`, `LocalShare` and `UsageReport` each modify only their own fields. Types:
-limiter/model. Times are in milliseconds.
+The nested records `SampledUsage`, `LocalShare` and `UsageReport` each modify only their own fields. Types are
+defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 
     Attributes:
         key: The customer's number.
-        plan: The plan of its last request.
-        limiter_set_size: Number of limiters that may receive its requests.
-        usage: Its token bucket and admission probability, estimated from usage samples.
-        local_share: This limiter's even share of its quota.
+        plan: The plan of the customer's last request.
+        limiter_set_size: Number of limiters that may receive the customer's requests.
+        usage: The customer's token bucket and admission probability, estimated from usage samples.
+        local_share: This limiter's even share of the customer's quota.
         is_widely_shared: Whether an even share of the burst for each limiter is less than one unit, so that
-            this limiter receives too few of its requests to estimate its usage.
+            this limiter receives too few of the customer's requests to estimate the customer's usage.
         admitted_fraction: Moving average of the fraction of requests that were admitted, over the decisions
             that were based on a sample.
-        report: Its usage that is to be reported to the counter.
-        last_seen_at: Time of its last request.
-        attempts_in_flight: Number of attempts in flight that this limiter sent.
-        remote_attempts_in_flight: Number of attempts in flight that other limiters sent, from the latest
-            value metered by a server.
+        report: The customer's usage that is to be reported to the counter.
+        last_seen_at: Time of the customer's last request.
+        attempts_in_flight: Number of the customer's attempts in flight that this limiter sent.
+        remote_attempts_in_flight: Number of the customer's attempts in flight that other limiters sent, from
+            the latest value metered by a server.
     """
 
     key: int
@@ -78,7 +78,7 @@
         self.usage.record_forwarded_units(units, within_quota=within_quota)
 
     def record_billing_difference(self, extra_units: float) -> None:
-        """Deduct and report the units that a forwarded request was billed beyond its estimate.
+        """Deduct and report the units that were billed for a forwarded request beyond its estimate.
 
         Args:
             extra_units: Billed units minus estimated units; negative if fewer were billed.
@@ -91,7 +91,7 @@
         self.attempts_in_flight += 1
 
     def end_attempts(self, count: int) -> None:
-        """Count attempts that have ended."""
+        """Subtract attempts that have ended from the count."""
         self.attempts_in_flight -= count
 
     def record_metered_concurrency(self, total_in_flight: float) -> None:
@@ -132,6 +132,5 @@
         idle_records = pop_idle(self.records, lambda each: now - each.last_seen_at > self._idle_timeout)
         for key, customer in idle_records:
             if customer.is_busy:
-                self.records[key] = (
-                    customer  # moved to the end, so that idle records behind it can be evicted
-                )
+                # The record is moved to the end, so that the idle records after it can be evicted.
+                self.records[key] = customer
--- a/limiter/policy/customer_housekeeping.py
+++ b/limiter/policy/customer_housekeeping.py
@@ -1,6 +1,6 @@
 """Schedules the recheck of customers that have usage to report or requests held for a counter reply.
 
-Types: limiter/model. Times are in milliseconds.
+Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
--- a/limiter/policy/customer_registry.py
+++ b/limiter/policy/customer_registry.py
@@ -1,8 +1,8 @@
 """Looks up, creates and updates the customer records of one limiter.
 
 A customer's token bucket is estimated from samples of its usage through all limiters. While samples are
-missing, each limiter enforces an even share of the quota instead. Types: limiter/model. Times are in
-milliseconds.
+missing, each limiter enforces an even share of the quota instead. Types are defined in limiter/model. Times
+are in milliseconds.
 """
 
 from __future__ import annotations
@@ -74,8 +74,8 @@
     def _create_customer(self, now: float, request: ClientRequest, limiter_set_size: float) -> Customer:
         plan = self._context.settings.plans[request.plan]
         history = self.plan_history[request.plan]
-        # The limiter may have been restarted, which must not refill the ceiling's bucket, so this limiter's
-        # share of it starts empty and refills from the time of the start.
+        # A restart of the limiter must not refill the bucket of the ceiling, so this limiter's share of the
+        # bucket is empty when the limiter starts, and refills from then on.
         seconds_since_start = (now - self._context.started_at) / 1000
         refilled_ceiling_units = min(plan.ceiling_burst, seconds_since_start * plan.ceiling_rate)
         return Customer(
@@ -95,11 +95,14 @@
         )
 
     def _is_widely_shared(self, plan: QuotaPlan, limiter_set_size: float) -> bool:
-        """Whether the even share of the burst is under one unit, so each limiter sees too few requests."""
+        """Return whether the counter is used and each limiter's even share of the burst is under one unit."""
         return self.uses_counter and 0 < plan.burst < limiter_set_size and plan.rate > 0
 
     def lacks_samples(self, customer: Customer, now: float) -> bool:
-        """Whether samples are missing or overdue for any reason, so that the even split replaces them."""
+        """Return whether the even split replaces the customer's samples, since they are missing or overdue.
+
+        It never replaces the samples of a widely shared customer.
+        """
         if not self.uses_counter:
             return not self._context.settings.meter_period
         report = customer.report
--- a/limiter/policy/discovery_backoff.py
+++ b/limiter/policy/discovery_backoff.py
@@ -6,8 +6,8 @@
 and it broadcasts what it learns. A limiter with a stale endpoint list stops sending attempts to servers that
 peers report as draining or gone; a peer's report never makes it start sending to a server. The probability
 depends on the number of polls and not on the number of limiters: two rejected limiters in a fleet of
-thousands poll as often as they would in a fleet of two. Event types are defined in limiter/model. Times are
-in milliseconds.
+thousands poll as often as they would in a fleet of two. Types are defined in limiter/model. Times are in
+milliseconds.
 """
 
 import math
@@ -28,8 +28,8 @@
 MIN_SLOT_JITTER = 0.6
 MAX_SLOT_JITTER = 1.4
 
-# Target number of polls in a slot by all limiters together. A discovery with fixed capacity was measured to
-# answer twice as many.
+# Target number of polls in a slot by all limiters together. A discovery with fixed capacity can answer twice
+# as many.
 TARGET_POLLS_PER_SLOT = 4.0
 
 # A poll is not announced if more than this number of polls is known in the slot, because that many already
@@ -43,12 +43,12 @@
 # Limiters that have the same servers to report send their messages at random times within this interval.
 GOSSIP_SPREAD_MS = 500.0
 
-# Target number of reports of one server by all limiters together. It is above 1 because one message in
-# twenty may be lost.
+# Number of received reports of a server from which a limiter does not report the server any more. It is above
+# 1 because one message in twenty may be lost.
 MAX_REPORT_COPIES = 3
 
-# Maximum number of servers whose reports by peers are kept for when this limiter's endpoint list is stale.
-# That is enough for the last steps of a release.
+# Maximum number of servers for which the reports by peers are kept. They are used when this limiter's
+# endpoint list is stale. The number is enough for the last steps of a release.
 MAX_REPORTED_SERVERS = 1024
 
 # Maximum number of slots between two polls if limiters cannot announce their polls by gossip.
@@ -62,7 +62,7 @@
         """Start with a stale endpoint list, as if a poll had failed.
 
         Args:
-            context: State shared by the components of the policy engine.
+            context: State shared by the components of the engine.
             server_table: The servers of the endpoint list.
             may_gossip: Whether limiters can tell each other about polls and servers. Without gossip, the time
                 between polls depends only on the size of the fleet.
@@ -73,7 +73,7 @@
         self.may_gossip = may_gossip and context.settings.polls_discovery
         self.is_poll_scheduled = False
         self.is_gossip_scheduled = False
-        # Whether the last poll failed, or there was no poll yet.
+        # Whether the last poll failed or no poll has ended yet.
         self.is_list_stale = True
         # Whether discovery has rejected a poll since its last answer.
         self.was_poll_rejected = False
@@ -213,8 +213,8 @@
             self.unannounced_ids = dict.fromkeys(filter(self._needs_report, self.unannounced_ids))
             if not self.unannounced_ids:
                 return None
-        body, encoded_ids = encode_endpoint_report(is_poll_announced, self.unannounced_ids)
-        for endpoint_id in encoded_ids:
+        body, processed_ids = encode_endpoint_report(is_poll_announced, self.unannounced_ids)
+        for endpoint_id in processed_ids:
             del self.unannounced_ids[endpoint_id]
         return body
 
@@ -246,7 +246,7 @@
     def _schedule_gossip(self) -> None:
         """Schedule the next message at a random time.
 
-        The distribution favours late times, so that the few early messages make most of the others
+        The distribution favors late times, so that the few early messages make most of the others
         unnecessary.
         """
         if not self.is_gossip_scheduled and (self.must_announce_poll or self.unannounced_ids):
--- a/limiter/policy/gossiped_usage.py
+++ b/limiter/policy/gossiped_usage.py
@@ -1,6 +1,6 @@
 """A customer's usage as estimated from gossip, and the table of customers whose usage is tracked this way.
 
-Types: limiter/model. Times are in milliseconds.
+Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
 
 
 class GossipedUsageTable:
-    """The customers that appear in gossip or whose requests this limiter has forwarded."""
+    """Records of the customers that appear in gossip or in requests to this limiter."""
 
     def __init__(self, sample_interval: float) -> None:
         """Create an empty table.
--- a/limiter/policy/outlier_detection.py
+++ b/limiter/policy/outlier_detection.py
@@ -2,7 +2,7 @@
 
 A server whose failure rate is too high is ejected: it receives no attempts until the ejection period is over.
 Then one probe attempt decides whether the ejection ends or starts again with twice the duration, as in the
-half-open state of a circuit breaker. A server that rejects attempts is paused. Event types are defined in
+half-open state of a circuit breaker. A server that rejects attempts is paused. Types are defined in
 limiter/model. All times and durations are in milliseconds.
 """
 
@@ -21,7 +21,7 @@
 # EWMA weight of the newest latency in the fleet's mean latency; lower, since the fleet has more samples.
 FLEET_LATENCY_WEIGHT = OUTCOME_WEIGHT / 4
 
-# Time constant with which a server's health statistics decay towards the fleet's mean while the server
+# Time constant with which a server's health statistics decay toward the fleet's mean while the server
 # reports no outcome. Without the decay, a server avoided for high latency would stay unused long after it
 # has recovered.
 HEALTH_DECAY_TIME_MS = 3000.0
@@ -29,8 +29,8 @@
 # If the last outcome is older than this when the next one arrives, the statistics decay before it is added.
 STALE_HEALTH_AGE_MS = 1000.0
 
-# First and longest pause of a server that rejects attempts. Each pause is twice as long as the previous one
-# until an attempt succeeds, because a draining server rejects every attempt.
+# Durations of the first and the longest pause of a server that rejects attempts. Each pause is twice as long
+# as the previous one until an attempt succeeds, because a draining server rejects every attempt.
 FIRST_PAUSE_MS = SAMPLE_INTERVAL_MS
 MAX_PAUSE_MS = 16 * SAMPLE_INTERVAL_MS
 
@@ -38,8 +38,8 @@
 # threshold would eject servers because of a few random failures.
 EJECTION_FAILURE_RATE = 0.5
 
-# First and longest ejection. Each ejection is twice as long as the previous one. A successful probe ends the
-# ejection, so that a recovered server is used again soon.
+# Durations of the first and the longest ejection. Each ejection is twice as long as the previous one. A
+# successful probe ends the ejection, so that a recovered server is used again soon.
 FIRST_EJECTION_MS = 1000.0
 MAX_EJECTION_MS = 8 * FIRST_EJECTION_MS
 
@@ -144,8 +144,8 @@
         if self.ejection is not None:
             self.ejection.clear_probe()
 
-    def decay_towards_fleet_mean(self, now: float, fleet_latency: float) -> None:
-        """Decay old statistics towards a failure rate of 0 and the mean latency of the fleet."""
+    def decay_toward_fleet_mean(self, now: float, fleet_latency: float) -> None:
+        """Decay old statistics toward a failure rate of 0 and the mean latency of the fleet."""
         if self.average_latency and now - self.last_outcome_at > STALE_HEALTH_AGE_MS:
             remaining_fraction = self.compute_remaining_weight(now)
             self.failure_rate = remaining_fraction * self.failure_rate
@@ -196,7 +196,7 @@
     """Updates the health of servers from the outcomes of attempts.
 
     Attributes:
-        context: State shared by the components of the policy engine.
+        context: State shared by the components of the engine.
         mean_latency: Moving average of the attempt latency over all servers; 0 before the first measurement.
     """
 
@@ -229,7 +229,7 @@
 
     def _update_health(self, now: float, health: ServerHealth, ended: AttemptEnded, is_success: bool) -> None:
         """Update the statistics, then the ejection, after an outcome that is informative about the health."""
-        health.decay_towards_fleet_mean(now, self.mean_latency)
+        health.decay_toward_fleet_mean(now, self.mean_latency)
         health.record_outcome(now, is_success)
         if is_success:
             self._record_latency(health, ended.latency)
--- a/limiter/policy/peer_load.py
+++ b/limiter/policy/peer_load.py
@@ -1,6 +1,6 @@
 """Load of the other limiters, as reported in their gossip messages.
 
-This module uses none of the types in limiter/model. Times are in milliseconds.
+This module uses no types of limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
--- a/limiter/policy/quota_usage.py
+++ b/limiter/policy/quota_usage.py
@@ -1,7 +1,7 @@
 """A customer's usage of its quota: a token bucket, the utilization and the admission probability.
 
 `sampled_usage.py` estimates the usage from samples and `gossiped_usage.py` from the gossip of other limiters.
-This module holds what both have in common. Types: limiter/model. Times are in milliseconds.
+This module holds what both have in common. Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
--- a/limiter/policy/sampled_usage.py
+++ b/limiter/policy/sampled_usage.py
@@ -1,7 +1,8 @@
 """A customer's usage as estimated from samples: the counter's totals or the usage that servers meter.
 
 The bucket refills at the plan's rate up to its burst. The units that this limiter forwards, and an estimate
-of those that the other limiters forward, are deducted. Types: limiter/model. Times are in milliseconds.
+of those that the other limiters forward, are deducted. Types are defined in limiter/model. Times are in
+milliseconds.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 from limiter.policy.smoothing import clamp, newest_sample_weight
 
 # Time of the last sample of a customer that has none. It is before any time of the clock, so that the first
-# sample of a customer that servers meter is not rejected as too early.
-NO_SAMPLE_TIME = -1.0
+# sample of a customer that servers meter is not ignored as too early.
+NO_SAMPLE_TIME_MS = -1.0
 # Time in which an earlier estimate of the other limiters' rate loses two thirds of its weight.
 REMOTE_RATE_TIME_CONSTANT_MS = 1000.0
 # Minimum time that a sample is assumed to cover, as a fraction of the sample interval, because two replies
 # may arrive in quick succession.
 MIN_SAMPLE_INTERVAL_FRACTION = 1 / 4
-# Maximum number of probability updates that one epoch total replaces. It is the exponent of a power, which
-# has to stay finite.
+# Maximum number of probability updates that one epoch total replaces. It bounds the exponent of a power,
+# which has to stay finite.
 MAX_UPDATES_PER_TOTAL = 20.0
 # Minimum utilization in the base of that power, for the same reason.
 MIN_UTILIZATION_PER_TOTAL = 0.1
@@ -43,14 +44,14 @@
         expected_remote_units: Units already deducted from the bucket for the other limiters since the last
             sample, at `remote_rate` or, while samples are missing, at the rate of the even split.
         local_units: Units that this limiter has forwarded since the last sample.
-        sampled_at: Time of the last sample; NO_SAMPLE_TIME before the first one.
+        sampled_at: Time of the last sample; NO_SAMPLE_TIME_MS before the first one.
     """
 
     probability_updated_at: float
     remote_rate: float
     expected_remote_units: float = 0.0
     local_units: float = 0.0
-    sampled_at: float = NO_SAMPLE_TIME
+    sampled_at: float = NO_SAMPLE_TIME_MS
 
     @property
     def has_sample(self) -> bool:
@@ -124,9 +125,11 @@
             self.probability_updated_at = now
 
     def _sample_weight(self, utilization_sample: float, elapsed: float, plan: QuotaPlan) -> float:
-        """Return the weight of a sample: a rise applies immediately, a fall gradually over the burst time.
+        """Return the weight of a sample in the utilization.
 
-        The samples of a customer with few units alternate between zero and high values.
+        A rise of the utilization has the full weight. A fall applies gradually, over the time in which the
+        burst refills, because the samples of a customer with few units alternate between zero and high
+        values.
         """
         if utilization_sample > self.utilization:
             return throttle.UTILIZATION_EWMA_WEIGHT
@@ -140,7 +143,10 @@
         self.expected_remote_units = 0.0
 
     def start_even_split_sample(self) -> None:
-        """Set the start of a sample that the even split replaces; a first one starts at the first request."""
+        """Set the start of a sample that the even split replaces.
+
+        The start is the time of the last sample or, if there is none, of the customer's first request.
+        """
         self.sampled_at = self.unsampled_since
 
     def record_first_total(self, now: float, plan: QuotaPlan, remote_units: float, elapsed: float) -> None:
--- a/limiter/policy/server_selection.py
+++ b/limiter/policy/server_selection.py
@@ -1,8 +1,8 @@
 """Server selection: chooses the ready server that an attempt is sent to.
 
 Servers that are paused, ejected or without slow-start credit are excluded. The others are compared by cost,
-which is the expected time of an attempt at the server. Event and setting types are defined in limiter/model.
-All times and durations are in milliseconds.
+which is the expected time of an attempt at the server. Types are defined in limiter/model. All times and
+durations are in milliseconds.
 """
 
 import math
@@ -18,8 +18,8 @@
 from limiter.policy.slow_start import SlowStart
 
 # Maximum number of servers, sampled at random from the fleet, that one choice compares. This bounds the
-# processor time of a choice in a fleet of any size, and comparing a few servers by what the limiter knows of
-# them is better than choosing uniformly at random.
+# processor time of a choice in a fleet of any size, and comparing these servers by what the limiter knows of
+# them is better than choosing one uniformly at random.
 MAX_CANDIDATES = 100
 
 # After no attempt was sent to an unresponsive server for this long, its unanswered attempts no longer
@@ -43,7 +43,7 @@
     """Chooses a server for each attempt among the ready servers.
 
     Attributes:
-        context: State shared by the components of the policy engine.
+        context: State shared by the components of the engine.
         outlier_detector: Provides the mean latency of the fleet.
         slow_start: Limits the attempts to servers that are warming up.
         table: The known servers.
@@ -80,9 +80,10 @@
         return self.slow_start.draw_server(now, cheapest)
 
     def _list_candidates(self, request: OpenRequest) -> list[Server]:
-        """Return the ready servers that the request may be sent to, in a large fleet a random sample of them.
+        """Return the ready servers that the request may be sent to; in a large fleet, a random sample.
 
-        A retry whose idempotency key is recognized in one zone or cell only is limited to servers there.
+        If the idempotency key of a retry is recognized in one zone or cell only, these are all ready servers
+        of that zone or cell.
         """
         candidates = self.table.ready
         if len(candidates) > MAX_CANDIDATES:
--- a/limiter/policy/server_table.py
+++ b/limiter/policy/server_table.py
@@ -1,9 +1,9 @@
 """The table of servers that this limiter knows from its endpoint list.
 
-The state of a `Server` consists of parts, each defined in its own module: health and ejection in
+The state of a `Server` consists of records that other modules define: health and ejection in
 `outlier_detection`, slow-start credit in `slow_start`, attempts in flight in `attempts_in_flight`. Only this
-module changes a server's endpoint and whether it is ready. Event types are defined in limiter/model. All
-times and durations are in milliseconds.
+module changes a server's endpoint and whether it is ready. Types are defined in limiter/model. All times and
+durations are in milliseconds.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     attempts_in_flight: AttemptsInFlight | None = None
 
     def update_endpoint(self, endpoint: Endpoint) -> None:
-        """Replace the endpoint by a newer list entry for the same process."""
+        """Replace the endpoint with a newer list entry for the same process."""
         self.endpoint = endpoint
         self.is_ready = endpoint.state is EndpointState.READY
 
@@ -117,7 +117,10 @@
         return new_server
 
     def _remove_unused(self) -> None:
-        """Remove servers that are not ready and have no attempt in flight, since machines come and go."""
+        """Remove servers that are not ready and have no attempt in flight.
+
+        Machines come and go, so the table would otherwise grow without limit.
+        """
         self.by_id = {
             key: server
             for key, server in self.by_id.items()
--- a/limiter/policy/slow_start.py
+++ b/limiter/policy/slow_start.py
@@ -2,9 +2,9 @@
 
 A warming server has few attempts in flight, so by cost alone every limiter would rank it first, and the sum
 of their attempts would overload it. Therefore a server is chosen with a probability equal to its current
-capacity fraction. If one limiter observes only a small part of a server's load, it also limits its attempts
-to the server by a credit, which grows with the attempts that the server would get if they were spread evenly.
-Event types are defined in limiter/model. All times and durations are in milliseconds.
+capacity fraction. If one limiter does not observe all of a server's load, it also limits its attempts to the
+server by a credit, which grows with the attempts that the server would get if they were spread evenly. Types
+are defined in limiter/model. All times and durations are in milliseconds.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 # rest is a margin for random variation, because the limiters do not know of each other's attempts.
 CREDIT_OVERLOAD_FRACTION = 0.75
 
-# Minimum number of attempts, as an even share, that a limiter must send to a server with full capacity
-# within the duration of slow start for credits to be used. With fewer, credits only add idle connections.
+# Credits are used only if a limiter's even share of the attempts to a server with full capacity is at least
+# this many attempts within the duration of slow start. With fewer, credits only add idle connections.
 MIN_EVEN_SHARE_ATTEMPTS = 2.0
 
 
@@ -77,7 +77,7 @@
     """Applies slow start to all servers.
 
     Attributes:
-        context: State shared by the components of the policy engine.
+        context: State shared by the components of the engine.
         unobserved_load_fraction: Fraction of a server's load that one limiter does not observe, from 0 to 1.
             Credits are not used if it is 0.
         fleet_capacity: Total capacity of the ready servers, as a number of servers with full capacity; at
--- a/limiter/policy/smoothing.py
+++ b/limiter/policy/smoothing.py
@@ -1,7 +1,7 @@
 """Smoothing of measured values: moving averages, exponential decay and clamping.
 
 The order of the floating-point operations in each function is part of its contract, because the replay of a
-recorded run has to match it bit for bit. The functions use none of the types in limiter/model.
+recorded run has to match it bit for bit. This module uses no types of limiter/model.
 """
 
 import math
--- a/limiter/policy/usage_gossip.py
+++ b/limiter/policy/usage_gossip.py
@@ -3,7 +3,7 @@
 When the requests of a customer are spread over many limiters, each of them receives too few to estimate the
 customer's usage. Therefore each limiter periodically broadcasts the units that it has forwarded for each
 customer, and its own attempts in flight. Each receiver estimates the customers' token buckets from these
-messages. Types: limiter/model. Times are in milliseconds.
+messages. Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
     """The state of a customer's quota as estimated from gossip.
 
     Attributes:
-        tokens: Units in the bucket, minus an estimate of the usage that other limiters have not yet sent.
+        tokens: Units in the bucket, minus an estimate of the other limiters' usage that has not arrived yet.
         probability: Admission probability of a request for which the bucket has too few tokens.
     """
 
--- a/limiter/policy/usage_report.py
+++ b/limiter/policy/usage_report.py
@@ -1,6 +1,6 @@
 """The usage of one customer that this limiter reports to the counter, and the last total that it has read.
 
-Types: limiter/model. Times are in milliseconds.
+Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
--- a/limiter/policy/usage_reporting.py
+++ b/limiter/policy/usage_reporting.py
@@ -1,6 +1,6 @@
 """Decides when this limiter reports a customer's usage to the counter.
 
-Types: limiter/model. Times are in milliseconds.
+Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
--- a/limiter/policy/usage_sampling.py
+++ b/limiter/policy/usage_sampling.py
@@ -1,7 +1,7 @@
 """Samples usage with the shared counter: decides when to call it and under which key, and handles replies.
 
 A call adds this limiter's own usage to the key of the customer's epoch and reads the total of all limiters.
-Types: limiter/model. Times are in milliseconds.
+Types are defined in limiter/model. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -22,12 +22,13 @@
 # Maximum epoch length. A key lives for two epochs, and the counter allows a time to live of at most 60 s.
 MAX_EPOCH_MS = 30000.0
 # Epoch length of a widely shared customer, as a multiple of the time in which its burst refills. Units that
-# are unused early in an epoch are admitted later on top of the burst, so a long epoch would admit floods.
+# are unused early in an epoch are admitted later on top of the burst, so a long epoch would admit much more
+# than a burst at once.
 WIDELY_SHARED_EPOCH_BURSTS = 1.5
 # Fraction of a burst that may be used in one slot, so that the order of requests in the slot does not matter.
 SLOT_BURST_FRACTION = 1 / 2
-# Latency above the minimum at which the counter counts as fully loaded, as a fraction of the time between the
-# minimum latency and the time-out.
+# Excess of a reply's latency over the minimum latency at which the counter counts as fully loaded, as a
+# fraction of the time between the minimum latency and the timeout.
 FULL_LOAD_LATENCY_FRACTION = 0.6
 # Minimum probability of making a requested call, so that the recovery of an overloaded counter is detected.
 MIN_CALL_PROBABILITY = 0.05
@@ -60,7 +61,7 @@
         """Start with no call in flight.
 
         Args:
-            context: The state that the parts of the engine share.
+            context: State shared by the components of the engine.
             customers: The customers that are sampled.
             gossip: Whether it is fresh determines whether calls for widely shared customers count a slot or a
                 whole epoch.
