--- a/limiter/model/events.py
+++ b/limiter/model/events.py
@@ -24,9 +24,8 @@
     CONNECT_FAILED = "connect failed"  # No connection could be established, so nothing was sent.
     RESET = "reset"  # The connection broke while the attempt was in flight; the request may have run.
     CANCELLED = "cancelled"  # The policy cancelled the attempt; the request may have run.
-    REQUEST_ENDED = (
-        "request over"  # Nothing was sent: the request already had its final response or no attempts left.
-    )
+    # Nothing was sent: the request already had its final response or no attempts left.
+    REQUEST_ENDED = "request over"
 
 
 # Outcomes after which it is certain that the server did not run the request.
--- a/limiter/model/settings.py
+++ b/limiter/model/settings.py
@@ -14,7 +14,7 @@
     """A setting is invalid. The message names the setting and describes the problem.
 
     Attributes:
-        name: Name of the setting, or its path in the configuration text.
+        name: Name of the setting, or its path in the configuration.
         problem: What is wrong with the setting.
     """
 
@@ -126,8 +126,8 @@
         clients_honor_retry_after: Whether rejected clients receive a Retry-After, which some of them honor.
         max_retry_after: Longest Retry-After, in milliseconds, that clients wait for.
         polls_discovery: Whether limiters poll discovery for the endpoint list; otherwise discovery pushes it.
-        poll_interval: Milliseconds after its last poll from which a limiter is assumed to know only the list
-            returned by that poll.
+        poll_interval: Milliseconds since a limiter's last poll after which the limiter is assumed to know
+            only the list that the poll returned.
         counter_timeout: Milliseconds after which a counter call has failed.
         meter_period: Milliseconds over which servers meter a customer's usage; 0 if servers do not meter it.
         is_post_paid: Whether the units of a request are an estimate until its response states the actual
