--- a/limiter/transport/clients/connection_registry.py
+++ b/limiter/transport/clients/connection_registry.py
@@ -52,7 +52,7 @@
     # Notifications of connections
 
     def connection_opened(self, connection: ClientConnection) -> bool:
-        """Add a connection; return False if it is an overflow connection: no other can be shed for it.
+        """Add a connection; return False for an overflow connection: no other can be shed for it.
 
         The request of an overflow connection may be on its way, so the connection is not closed but gets a
         response. Once it is idle, it is the next to be shed.
@@ -98,7 +98,8 @@
 
     def shed_connection(self) -> bool:
         """Close or fail the connection that is least in use; return False if none can be shed."""
-        # New connections without input go before idle ones, or many of them would displace active clients.
+        # New connections without input are shed before idle ones, since otherwise many new connections would
+        # displace active clients.
         longest_lingering = next(iter(self.lingering), None)
         if longest_lingering is not None:
             self._close_connection(longest_lingering)
@@ -123,7 +124,7 @@
         return False
 
     def close_expired_connections(self) -> None:
-        """Close the connections that have been in their state longer than its timeout."""
+        """Close the connections that have been in their state for longer than the timeout of the state."""
         now = time.monotonic()
         self._close_connections_without_input(self.new, now - READ_TIMEOUT_SECONDS)
         self._close_connections_without_input(self.idle, now - IDLE_TIMEOUT_SECONDS)
--- a/limiter/transport/clients/http_request.py
+++ b/limiter/transport/clients/http_request.py
@@ -57,8 +57,8 @@
     def __init__(self, config: Config) -> None:
         """Read the request classes, plans and limits from `config`."""
         self._settings = config.settings
-        self._class_indexes = {name.encode(): index for index, name in enumerate(config.class_names)}
-        self._plan_indexes = {name.encode(): index for index, name in enumerate(config.plan_names)}
+        self._class_indices = {name.encode(): index for index, name in enumerate(config.class_names)}
+        self._plan_indices = {name.encode(): index for index, name in enumerate(config.plan_names)}
 
     def validate(
         self, request: ParsedRequest, path: bytes, request_number: int, now_ms: float
@@ -94,13 +94,13 @@
         )
 
     def _find_class_index(self, headers: Mapping[bytes, bytes], class_path: bytes) -> int:
-        class_index = self._class_indexes.get(headers.get(b"x-class", b""))
+        class_index = self._class_indices.get(headers.get(b"x-class", b""))
         if class_index is None or class_path.partition(b"/")[0] != headers[b"x-class"]:
             raise BadRequestError(part="X-Class", problem="missing, unknown or not that of the path")
         return class_index
 
     def _find_plan_index(self, headers: Mapping[bytes, bytes]) -> int:
-        plan_index = self._plan_indexes.get(headers.get(b"x-tariff", b""))
+        plan_index = self._plan_indices.get(headers.get(b"x-tariff", b""))
         if plan_index is None:
             raise BadRequestError(part="X-Tariff", problem="missing or unknown")
         return plan_index
--- a/limiter/transport/clients/listener.py
+++ b/limiter/transport/clients/listener.py
@@ -13,11 +13,11 @@
 from limiter.transport.clock import Clock
 from limiter.transport.driver.proxy import Proxy
 
-# Fraction of the file descriptors that is for client connections.
-CLIENT_DESCRIPTOR_SHARE = 0.55
-# Fraction of the file descriptors that is for overflow connections, which stay open until their requests are
-# rejected, and the minimum limit on their number.
-OVERFLOW_DESCRIPTOR_SHARE = 0.05
+# Fraction of the file descriptors that are not reserved, for client connections.
+CLIENT_DESCRIPTOR_FRACTION = 0.55
+# Fraction of the file descriptors that are not reserved, for overflow connections, which stay open until
+# their requests are rejected, and the minimum limit on the number of overflow connections.
+OVERFLOW_DESCRIPTOR_FRACTION = 0.05
 MIN_OVERFLOW_CONNECTIONS = 8
 # Maximum number of connections that the kernel holds until they are accepted.
 LISTEN_BACKLOG_SIZE = 1024
@@ -36,9 +36,9 @@
     def __init__(self, config: Config, proxy: Proxy, clock: Clock) -> None:
         """Start to listen in the running event loop; raise OSError if the address cannot be bound."""
         self._loop = asyncio.get_running_loop()
-        max_connections = config.compute_descriptor_budget(CLIENT_DESCRIPTOR_SHARE)
+        max_connections = config.compute_descriptor_budget(CLIENT_DESCRIPTOR_FRACTION)
         max_overflow_connections = max(
-            MIN_OVERFLOW_CONNECTIONS, config.compute_descriptor_budget(OVERFLOW_DESCRIPTOR_SHARE)
+            MIN_OVERFLOW_CONNECTIONS, config.compute_descriptor_budget(OVERFLOW_DESCRIPTOR_FRACTION)
         )
         self._max_accepted_connections = max_connections + max_overflow_connections
         self.registry = ConnectionRegistry(max_connections)
--- a/limiter/transport/clients/request_parser.py
+++ b/limiter/transport/clients/request_parser.py
@@ -166,7 +166,8 @@
         """Record the end of the head, and reject a protocol upgrade."""
         self._is_head_complete = True
         if self._parser is not None and self._parser.should_upgrade():
-            # Otherwise the parser would complete the request and then fail: two responses to one request.
+            # Otherwise the parser would complete the request and then fail, and the request would get two
+            # responses.
             self._error_response = UPGRADE_NOT_SUPPORTED
 
     def on_body(self, body: bytes) -> None:
--- a/limiter/transport/clock.py
+++ b/limiter/transport/clock.py
@@ -9,7 +9,7 @@
     """Unix time in milliseconds: read from the system clock once, then advanced by the monotonic clock.
 
     Counter keys contain an epoch that is computed from this time, so the clocks of all limiters must agree.
-    If the system clock is stepped later, requests must neither end early nor stay open for ever, so the step
+    If the system clock is stepped later, requests must neither end early nor stay open forever, so the step
     is ignored.
     """
 
--- a/limiter/transport/counter/counter_client.py
+++ b/limiter/transport/counter/counter_client.py
@@ -35,8 +35,8 @@
 # Shortest time to live that the counter accepts.
 MIN_TIME_TO_LIVE_MS = 1
 
-# Called with the key, the outcome, the counter's total in units (0 unless the outcome is OK) and the latency
-# in milliseconds.
+# Called with the key of the count, the outcome, the count's total in units (0 unless the outcome is OK) and
+# the latency in milliseconds.
 ReplyCallback = Callable[[int, Outcome, float, float], None]
 
 
@@ -45,9 +45,9 @@
     """Address and timeouts of the counter.
 
     Attributes:
-        address: address of the counter.
-        timeout_ms: time after which a call without a reply is reported as timed out.
-        dial_timeout_ms: time after which opening a connection fails.
+        address: Address of the counter.
+        timeout_ms: Time after which a call without a reply is reported as timed out.
+        dial_timeout_ms: Time after which opening a connection fails.
     """
 
     address: Address
@@ -56,14 +56,14 @@
 
 
 class CounterClient:
-    """Adds to counters on a connection, and reconnects whenever that connection ends."""
+    """Adds units to counts of the shared counter, and reconnects whenever its connection ends."""
 
     def __init__(self, options: CounterClientOptions, on_reply: ReplyCallback) -> None:
         """Start connecting; the event loop must be running.
 
         Args:
-            options: address and timeouts of the counter.
-            on_reply: called once for each call of `add`, after `add` has returned.
+            options: Address and timeouts of the counter.
+            on_reply: Called once for each call of `add`, after `add` has returned.
         """
         self._address = options.address
         self._timeout_seconds = options.timeout_ms / 1000
@@ -101,12 +101,12 @@
             self.connection.abort()
 
     def add(self, key: int, units_to_add: float, time_to_live_ms: float) -> None:
-        """Add to a counter.
+        """Add units to a count of the shared counter.
 
         Args:
-            key: identifies the counter.
-            units_to_add: units to add to the counter.
-            time_to_live_ms: time after this call for which the service should keep the counter.
+            key: Key of the count, 64 bits.
+            units_to_add: Units to add to the count.
+            time_to_live_ms: Milliseconds after which a count that this call creates expires.
         """
         call = make_add_call(partial(self._on_reply, key))
         connection = self.connection
--- a/limiter/transport/counter/counter_connection.py
+++ b/limiter/transport/counter/counter_connection.py
@@ -32,7 +32,7 @@
 # counter has to be detected before the next call.
 PING_AFTER_IDLE_SECONDS = 4.0
 
-# Called with the outcome, the counter's total in units (0 unless the outcome is OK) and the latency in
+# Called with the outcome, the count's total in units (0 unless the outcome is OK) and the latency in
 # milliseconds.
 CallFinishedCallback = Callable[[Outcome, float, float], None]
 
@@ -54,8 +54,8 @@
         """Create a call that starts now.
 
         Args:
-            parse_reply: parses the reply; raises ValueError if it is not a valid reply to this call.
-            on_finished: called once with the outcome; None if the outcome is not needed.
+            parse_reply: Parses the reply; raises ValueError if it is not a valid reply to this call.
+            on_finished: Called once with the outcome; None if the outcome is not needed.
         """
         self.parse_reply = parse_reply
         self._on_finished = on_finished
@@ -77,7 +77,7 @@
 
 
 def make_add_call(on_finished: CallFinishedCallback) -> PendingCall:
-    """Create a call that adds to a counter."""
+    """Create a call that adds units to a count."""
     return PendingCall(parse_add_reply, on_finished)
 
 
--- a/limiter/transport/counter/resp.py
+++ b/limiter/transport/counter/resp.py
@@ -54,8 +54,8 @@
     """The result of a call, as parsed from its reply.
 
     Attributes:
-        outcome: how the call ended.
-        total_units: the counter's total after the call; 0 unless the outcome is OK.
+        outcome: How the call ended.
+        total_units: The count's total in units after the call; 0 unless the outcome is OK.
     """
 
     outcome: Outcome
@@ -76,7 +76,7 @@
         """Parse further bytes, and yield the replies that they complete.
 
         Raises:
-            ReplyTooLongError: a reply exceeds MAX_REPLY_BYTES or is an aggregate.
+            ReplyTooLongError: A reply exceeds MAX_REPLY_BYTES or is an aggregate.
             hiredis.ProtocolError: the bytes are not valid RESP.
         """
         if AGGREGATE_REPLY_PATTERN.search(data):
--- a/limiter/transport/discovery/__init__.py
+++ b/limiter/transport/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Client of discovery: long polls for the endpoint list, and parses it."""
+"""Client of discovery: requests the endpoint list by long polls, and parses it."""
--- a/limiter/transport/discovery/discovery_connection.py
+++ b/limiter/transport/discovery/discovery_connection.py
@@ -74,11 +74,11 @@
         """Send a GET request and wait for its response.
 
         Args:
-            target: path and query string.
-            host: value of the Host header.
+            target: Path and query string.
+            host: Value of the Host header.
 
         Raises:
-            DiscoveryConnectionLostError: the connection is closed or ends before the response is complete.
+            DiscoveryConnectionLostError: The connection is closed or ends before the response is complete.
         """
         if self.transport is None or self.transport.is_closing():
             raise DiscoveryConnectionLostError
--- a/limiter/transport/discovery/discovery_watch.py
+++ b/limiter/transport/discovery/discovery_watch.py
@@ -42,9 +42,9 @@
         """Apply an endpoint list.
 
         Args:
-            servers: the servers in the list.
-            is_full_list: whether servers that are not in the list have left; otherwise they are unchanged.
-            from_cache: whether the list comes from the configuration and may be outdated.
+            servers: The servers in the list.
+            is_full_list: Whether servers that are not in the list have left; otherwise they are unchanged.
+            from_cache: Whether the list comes from the configuration and may be outdated.
         """
 
 
@@ -53,10 +53,10 @@
     """Address of discovery and parameters of the calls to it.
 
     Attributes:
-        address: address of discovery or of its agent on this host.
-        names: numbers of the zones and machine types.
-        dial_timeout_ms: time after which opening a connection fails.
-        pacing: long poll duration, timeouts and backoff of the calls.
+        address: Address of discovery or of its agent on this host.
+        names: Numbers of the zones and machine types.
+        dial_timeout_ms: Time after which opening a connection fails.
+        pacing: Long poll duration, timeouts and backoff of the calls.
     """
 
     address: Address
@@ -82,9 +82,9 @@
         """Create a watch; `start` starts it.
 
         Args:
-            options: address of discovery and parameters of the calls to it.
-            on_changed: called with an endpoint list or the changes to the previous one.
-            on_failed: called after each failed call if all limiters share one discovery.
+            options: Address of discovery and parameters of the calls to it.
+            on_changed: Called with an endpoint list or the changes to the previous one.
+            on_failed: Called after each failed call if all limiters share one discovery.
         """
         self._names = options.names
         self._pacing = options.pacing
@@ -105,16 +105,16 @@
     def load_configured_endpoints(self, document: object) -> None:
         """Report the endpoint list from the configuration, which may be outdated.
 
-        The first call to a shared discovery then requests only the changes since this list. A full list would
-        cost discovery one line per server for each of the many limiters that may start together. An agent on
-        this host is asked for a full list instead: that costs nothing, and the list's version may come from
-        another agent, whose versions are not comparable.
+        The first call to a shared discovery then requests only the changes since this list. For a full list,
+        discovery would have to send one entry per server to each of the many limiters that may start at the
+        same time. An agent on this host is asked for a full list instead: that costs nothing, and the version
+        of the configured list may come from another agent, whose versions are not comparable.
 
         Args:
-            document: the list in discovery's JSON format, or None if the configuration contains none.
+            document: The list in discovery's JSON format, or None if the configuration contains none.
 
         Raises:
-            ConfigError: the document is not a valid endpoint list.
+            ConfigError: The document is not a valid endpoint list.
         """
         if document is None:
             return
--- a/limiter/transport/discovery/endpoint_list.py
+++ b/limiter/transport/discovery/endpoint_list.py
@@ -39,9 +39,9 @@
     """A full list of the servers, or the changes since an earlier version.
 
     Attributes:
-        version: generation of the list, which increases with each change.
-        is_full: whether servers without an entry have left. Otherwise they are unchanged.
-        entries: the listed servers.
+        version: Generation of the list, which increases with each change.
+        is_full: Whether servers without an entry have left. Otherwise they are unchanged.
+        entries: The listed servers.
     """
 
     version: int
@@ -76,11 +76,11 @@
     """Parse an endpoint list.
 
     Args:
-        document: the decoded JSON document.
-        names: numbers of the zones and machine types.
+        document: The decoded JSON document.
+        names: Numbers of the zones and machine types.
 
     Raises:
-        MemberListError: the document is not a valid endpoint list.
+        MemberListError: The document is not a valid endpoint list.
     """
     try:
         return _parse_document(document, names)
@@ -138,7 +138,7 @@
 def _parse_state(lifecycle: Any) -> EndpointState:
     state = LIFECYCLE_STATES.get(lifecycle)
     if state is None:
-        message = f"invalid endpoint: unknown lifecycle {lifecycle!r}"
+        message = f"invalid endpoint: lifecycle must be active, leaving or left, not {lifecycle!r}"
         raise MemberListError(message)
     return state
 
--- a/limiter/transport/discovery/poll_pacing.py
+++ b/limiter/transport/discovery/poll_pacing.py
@@ -36,10 +36,10 @@
     """Long poll duration, timeouts and backoff of the calls to discovery.
 
     Attributes:
-        long_poll_ms: how long discovery holds a call while there is no change.
-        grace_seconds: time after the end of the long poll after which a call has failed; also limits a dial.
-        max_backoff_seconds: longest backoff after a failed call.
-        uses_local_agent: whether an agent on this host is called. Its calls cost nothing, a full list costs
+        long_poll_ms: How long discovery holds a call while there is no change.
+        grace_seconds: Time after the end of the long poll after which a call has failed; also limits a dial.
+        max_backoff_seconds: Longest backoff after a failed call.
+        uses_local_agent: Whether an agent on this host is called. Its calls cost nothing, a full list costs
             no more than the changes, and no other limiter uses it.
     """
 
@@ -53,8 +53,8 @@
         """Return the pacing for a fleet of limiters.
 
         Args:
-            limiter_count: number of limiters that call the same discovery.
-            uses_local_agent: whether each limiter calls an agent on its own host instead.
+            limiter_count: Number of limiters that call the same discovery.
+            uses_local_agent: Whether each limiter calls an agent on its own host instead.
         """
         if uses_local_agent:
             return cls(
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -46,10 +46,10 @@
 
 log = logging.getLogger(__name__)
 
-# Interval at which connections to servers that were idle for too long are closed.
+# Interval at which connections to servers are closed if they were idle for too long.
 SWEEP_INTERVAL_SECONDS = 1.0
-# Fraction of the file descriptors that is for connections to servers.
-SERVER_DESCRIPTOR_SHARE = 0.4
+# Fraction of the file descriptors that are not reserved, for connections to servers.
+SERVER_DESCRIPTOR_FRACTION = 0.4
 
 
 class Proxy:
@@ -77,7 +77,7 @@
         self.server_pool = ServerPool(
             dial_timeout_ms=config.dial_timeout_ms,
             keepalive_ms=config.keepalive_ms,
-            max_connections=config.compute_descriptor_budget(SERVER_DESCRIPTOR_SHARE),
+            max_connections=config.compute_descriptor_budget(SERVER_DESCRIPTOR_FRACTION),
         )
         self.forwarder = RequestForwarder(clock, config.settings, self.server_pool, self._handle_event)
         self.requests = self.forwarder.requests
@@ -125,7 +125,7 @@
     def apply_endpoint_list(
         self, servers: list[ListedEndpoint], is_full_list: bool, from_cache: bool = False
     ) -> None:
-        """Apply a full endpoint list, or the changes to the present one.
+        """Apply a full endpoint list, or the changes to the current one.
 
         Args:
             servers: All servers of the list, or those that changed.
--- a/limiter/transport/gossip/gossip_socket.py
+++ b/limiter/transport/gossip/gossip_socket.py
@@ -1,4 +1,4 @@
-"""UDP socket for gossip: sends datagrams to all members of the fleet and accepts them from members only."""
+"""UDP socket for gossip: sends datagrams to all limiters of the fleet and accepts them from these only."""
 
 from __future__ import annotations
 
@@ -26,16 +26,18 @@
         """Bind the socket and start receiving; the event loop must be running.
 
         Args:
-            config: listen address of this limiter and addresses of all members.
-            own_index: index of this limiter among the members.
-            on_message: called with each message from another member.
+            config: Listen address of this limiter and addresses of all limiters.
+            own_index: Index of this limiter among all limiters.
+            on_message: Called with each message from another limiter.
 
         Raises:
-            OSError: the address cannot be bound.
+            OSError: The address cannot be bound.
         """
         self._own_index = own_index
         self._on_message = on_message
-        self._member_indices = {member: index for index, member in enumerate(config.limiter_addresses)}
+        self._limiter_indices = {
+            limiter_address: index for index, limiter_address in enumerate(config.limiter_addresses)
+        }
         self._broadcast_addresses = _select_broadcast_addresses(config, own_index)
         # The last send failed. Reset by a success, so that a persistent failure is logged once.
         self._has_send_failed = False
@@ -44,7 +46,7 @@
         self._loop.add_reader(self._socket, self._read_messages)
 
     def broadcast(self, message: bytes) -> None:
-        """Send a message to all members; it is lost, as any datagram may be, if the send buffer is full."""
+        """Send a message to all limiters; the message is lost, as any may be, if the send buffer is full."""
         for address in self._broadcast_addresses:
             try:
                 self._socket.sendto(message, address)
@@ -68,7 +70,7 @@
                 message, sender = self._socket.recvfrom(MAX_MESSAGE_BYTES + 1)
             except OSError:  # Nothing left to read, or an earlier send reached a closed port.
                 return
-            sender_index = self._member_indices.get(sender[:2])
+            sender_index = self._limiter_indices.get(sender[:2])
             if sender_index is None or sender_index == self._own_index:
                 continue
             if len(message) <= MAX_MESSAGE_BYTES:
@@ -76,10 +78,14 @@
 
 
 def _select_broadcast_addresses(config: GossipConfig, own_index: int) -> list[Address]:
-    """Return the shared address that reaches all members, if any, or the addresses of all other members."""
+    """Return the address that reaches all limiters, if any, or the addresses of all other limiters."""
     if config.broadcast_address:
         return [config.broadcast_address]
-    return [member for index, member in enumerate(config.limiter_addresses) if index != own_index]
+    return [
+        limiter_address
+        for index, limiter_address in enumerate(config.limiter_addresses)
+        if index != own_index
+    ]
 
 
 def _bind_socket(listen: Address) -> socket.socket:
--- a/limiter/transport/http_response.py
+++ b/limiter/transport/http_response.py
@@ -165,7 +165,7 @@
         elif name == b"content-type":
             self.content_type = value
         elif name == b"content-length" and int(value) > self._max_body_bytes:
-            raise ResponseError  # Fails now: the body may arrive slowly, or not at all.
+            raise ResponseError  # Do not wait for the body, which may arrive slowly, or not at all.
 
     def on_body(self, body: bytes) -> None:
         """Collect a part of the body."""
--- a/limiter/transport/servers/attempt.py
+++ b/limiter/transport/servers/attempt.py
@@ -52,12 +52,12 @@
         """Create an attempt that has not been sent yet.
 
         Args:
-            number: index of the attempt among all attempts of its request.
-            server_id: ID of the server.
-            request_bytes: the complete HTTP request.
-            on_ended: called once, with the attempt, its outcome, and the body and content type of the
+            number: Index of the attempt among all attempts of its request.
+            server_id: Id of the server.
+            request_bytes: The complete HTTP request.
+            on_ended: Called once, with the attempt, its outcome, and the body and content type of the
                 response.
-            is_client_disconnected: called after a dial; if it returns True, the request is not written.
+            is_client_disconnected: Called after a dial; if it returns True, the request is not written.
         """
         self.number = number
         self.server_id = server_id
@@ -113,7 +113,7 @@
         """End the attempt because its connection ended before the response was complete.
 
         Args:
-            is_stale: whether the connection was a reused one that ended before any byte of a response
+            is_stale: Whether the connection was a reused one that ended before any byte of a response
                 arrived.
         """
         self.is_connection_stale = is_stale
--- a/limiter/transport/servers/pooled_server.py
+++ b/limiter/transport/servers/pooled_server.py
@@ -43,9 +43,9 @@
         """Create a server process without connections.
 
         Args:
-            address: address on which the server listens.
+            address: Address on which the server listens.
             started_at_ms: Unix time at which the process started, in milliseconds.
-            connection_table: the connections to all servers.
+            connection_table: The connections to all servers.
         """
         self.address = address
         self.started_at_ms = started_at_ms
--- a/limiter/transport/servers/reuse_history.py
+++ b/limiter/transport/servers/reuse_history.py
@@ -23,8 +23,8 @@
     """Moving average of the fraction of reused connections that were reset, by idle time.
 
     Servers close idle connections after their own timeouts, well before the keepalive time in the settings.
-    A request written on such a connection is reset: the server may have executed it, and it uses up one of
-    the request's attempts.
+    A request written on such a connection is reset: the server may have executed the request, and the reset
+    uses up one of the request's attempts.
     """
 
     __slots__ = ("_reset_fractions",)
--- a/limiter/transport/servers/server_pool.py
+++ b/limiter/transport/servers/server_pool.py
@@ -30,9 +30,9 @@
         """Create a pool without servers.
 
         Args:
-            dial_timeout_ms: time after which a dial fails.
-            keepalive_ms: idle time after which servers close connections, at the latest.
-            max_connections: limit on the connections to all servers, including those being opened.
+            dial_timeout_ms: Time after which a dial fails.
+            keepalive_ms: Idle time after which servers close connections, at the latest.
+            max_connections: Limit on the connections to all servers, including those being opened.
         """
         self._max_connections = max_connections
         self._dial_timeout_seconds = dial_timeout_ms / 1000
@@ -87,8 +87,8 @@
         """Send an attempt on an idle connection, or on a new one if none can be reused.
 
         Args:
-            attempt: the attempt to send.
-            timeout_seconds: time after which the attempt is abandoned; None if the caller abandons it.
+            attempt: The attempt to send.
+            timeout_seconds: Time after which the attempt is abandoned; None if the caller abandons it.
         """
         if timeout_seconds is not None:
             attempt.start_timeout(timeout_seconds)
