--- a/limiter/codecs/gossip_messages.py
+++ b/limiter/codecs/gossip_messages.py
@@ -6,7 +6,7 @@
     | part         | bytes | content                                                        |
     | ------------ | ----- | -------------------------------------------------------------- |
     | header       | 1     | attempts in flight at the sender, at most 255                  |
-    |              | 2     | their mean latency in ms, at most 65,535                       |
+    |              | 2     | mean latency of its attempts in ms, at most 65,535             |
     | group header | 1     | index of the plan                                              |
     |              | 1     | number of entries in the group                                 |
     | entry        | 5     | customer in the 33 high bits, units in the 7 low bits          |
@@ -35,7 +35,7 @@
 USAGE_MESSAGE_HEADER = struct.Struct(">BH")
 GROUP_HEADER = struct.Struct(">BB")
 MAX_ATTEMPTS_IN_FLIGHT = 255  # The header has one byte for the attempts in flight.
-MAX_LATENCY_MS = 65_535  # The header has two bytes for their latency.
+MAX_LATENCY_MS = 65_535  # The header has two bytes for the mean latency.
 MAX_PLAN_INDEX = 255  # A group header has one byte for the index of its plan.
 ENTRY_BYTES = 5
 UNIT_BITS = 7  # The low bits of an entry contain its units, the other bits its customer.
@@ -59,7 +59,7 @@
 
     Attributes:
         attempts_in_flight: Attempts in flight at the sender.
-        mean_latency_ms: Their mean latency in milliseconds.
+        mean_latency_ms: Mean latency of the sender's attempts in milliseconds.
         entries: Units by plan and customer, in the order of the message.
     """
 
--- a/limiter/simulator/event_decoder.py
+++ b/limiter/simulator/event_decoder.py
@@ -273,7 +273,7 @@
     return WireError(WireFault.UNKNOWN_CODE, f"unknown {code_kind} {code}{location}")
 
 
-# Decoders by code. A record needs only one look-up here to find its decoder, not a chain of comparisons.
+# Decoders by code. A record needs only one lookup here to find its decoder, not a chain of comparisons.
 _DECODERS: dict[int, Callable[[RecordReader], AddressedRecord | None]] = {
     EventCode.CLIENT_DISCONNECTED: _decode_client_disconnected,
     EventCode.ENDPOINTS_CHANGED: _decode_endpoints_changed,
--- a/limiter/simulator/frames.py
+++ b/limiter/simulator/frames.py
@@ -60,7 +60,7 @@
     return REPLY_HEADER.pack(len(actions)) + actions
 
 
-def _check_length(data: bytes, expected: int, part: str) -> None:
+def _check_length(data: bytes, expected: int, frame_part: str) -> None:
     if len(data) != expected:
-        message = f"input ended inside {part}: got {len(data)} of {expected} bytes"
+        message = f"input ended inside {frame_part}: got {len(data)} of {expected} bytes"
         raise WireError(WireFault.TRUNCATED, message)
