--- a/limiter/configuration/config.py
+++ b/limiter/configuration/config.py
@@ -49,7 +49,7 @@
     Attributes:
         name: Name of the limiter, which it writes to its log.
         listen_address: Address on which the limiter accepts clients' connections.
-        discovery_address: Address of the discovery agent.
+        discovery_address: Address of discovery or of its agent on this host.
         counter_address: Address of the shared counter; None if the settings do not enable the counter.
         gossip: Addresses for gossip between limiters; None if the limiter does not use gossip.
         seed: Seed of the random number generator of the decision policy.
--- a/limiter/configuration/config_loader.py
+++ b/limiter/configuration/config_loader.py
@@ -27,7 +27,7 @@
     """Load the configuration again while the process runs.
 
     Unlike at start, `discovery` in the file overrides RELAY_DISCOVERY: the environment of a running process
-    cannot be changed, so the file is the only way to move the limiter to another discovery agent.
+    cannot be changed, so the file is the only way to change the address of discovery.
 
     Raises:
         ConfigError: The file cannot be read, or one of its keys is missing or invalid.
--- a/limiter/model/events.py
+++ b/limiter/model/events.py
@@ -23,8 +23,9 @@
     TIMEOUT = "timeout"  # No response arrived in time; the request may have run or may still run.
     CONNECT_FAILED = "connect failed"  # No connection could be established, so nothing was sent.
     RESET = "reset"  # The connection broke while the attempt was in flight; the request may have run.
-    CANCELLED = "cancelled"  # The policy cancelled the attempt; the request may have run.
-    # Nothing was sent: the request already had its final response or no attempts left.
+    # The attempt was cancelled, for example because its client disconnected; the request may have run.
+    CANCELLED = "cancelled"
+    # Nothing was sent: the request was already finished, or had no time or no attempts left.
     REQUEST_ENDED = "request over"
 
 
--- a/limiter/transport/clients/listener.py
+++ b/limiter/transport/clients/listener.py
@@ -110,7 +110,7 @@
         self._handler.start_draining()
 
     def stop_accepting(self) -> None:
-        """Accept the connections in the backlog, which the kernel would reset, and stop listening."""
+        """Accept the backlog, whose connections the kernel would otherwise reset, and stop listening."""
         self._loop.remove_reader(self.socket)
         for _ in range(LISTEN_BACKLOG_SIZE):
             if not self._accept_one():
--- a/limiter/transport/driver/proxy.py
+++ b/limiter/transport/driver/proxy.py
@@ -187,7 +187,7 @@
             case LogMessage():
                 log.info("policy_message text=%s", action.text)
             case SendHealthCheck():
-                pass  # The limiter's settings do not allow health checks.
+                pass  # The policy sends no health checks.
             case _:
                 assert_never(action)
 
