--- a/tests/scale/test_process_experiments.py
+++ b/tests/scale/test_process_experiments.py
@@ -44,26 +44,18 @@
     phase_name = line["phase"]
     assert line["datagrams_in"] == (0 if phase_name == "idle" else 10)
     assert line["changes"] == (6 if phase_name in ("changes", "load") else 0)
+    # Emulated peers that run late make the last changes of a phase at once, right before it ends.
+    late_s = (line["stand_ins_late_p99_ms"] or 0.0) / 1000
+    late_changes = round(late_s * line["changes"] / line["seconds"])
+    # The last change of a phase, and those made at once with it, may be acknowledged after the phase.
+    min_changes_heard = line["changes"] - 1 - late_changes
+    assert min_changes_heard <= line["changes_heard"] <= line["changes"] + 1, f"peers were {late_s} s late"
     assert line["requests"] == (10 if phase_name == "load" else 0)
     assert line["lost"] == 0
     assert sum(line["answers"].values()) == line["requests"]
     assert set(line["answers"]) <= {"200", "429", "503"}
 
 
-def check_acknowledged_changes(phases: list[Line]) -> None:
-    """Check that one limiter acknowledges each change, at the latest in the phase after it.
-
-    While the limiter waits for the processor it acknowledges several changes late, but no change before it is
-    made. In each phase with changes it acknowledges at least one of them.
-    """
-    made_count = 0
-    acknowledged_count = 0
-    for line in phases:
-        made_count += line["changes"]
-        acknowledged_count += line["changes_heard"]
-        assert 0 <= made_count - acknowledged_count < max(1, line["changes"]), line
-
-
 def check_load_line(line: Line) -> None:
     """Check that the requests of the phase `load` caused traffic with servers, counter and peers."""
     assert line["answers"]["200"]
@@ -86,8 +78,6 @@
         check_phase_line(line)
         if line["phase"] == "load":
             check_load_line(line)
-    for size in sizes:
-        check_acknowledged_changes([line for line in phases if line["servers"] == size["servers"]])
     slopes = {(line["of"], line["phase"]): line for line in select_lines(lines, "slope")}
     assert 130 < slopes["list_bytes", ""]["each"] < 200
     assert ("core", "load") in slopes
